--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A small world of made-up settings and nodes for the tests."""
+"""Fixtures and builders that several test modules share, and the list of known failures."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from typing import Any
 
 import pytest
+from router_harness import RouterHarness
 
-from stand import Stand
 from stonecove.choice import Director
 from stonecove.interface import (
     Action,
@@ -92,77 +92,81 @@
     return replace(base, **changes)
 
 
-def make_nodes() -> list[Node]:
+def make_endpoints() -> list[Node]:
     ready = NodeState.READY
     nodes = [Node(n, 0, 0.0, ready, n % 2, 1, 1.0) for n in CACHES]
     nodes += [Node(n, 1, 0.0, ready, 0, 0, 1.0) for n in PARENTS]
     return [*nodes, Node(ORIGIN, 2, 0.0, ready, 0, 0, 1.0)]
 
 
-class World:
-    """One director, its clock and the requests it was given."""
+class PolicyHarness:
+    """One routing policy, its clock and the requests it was given."""
 
     def __init__(self, settings: Settings | None = None, nodes: list[Node] | None = None) -> None:
-        self.director = Director(settings or make_settings(), 7)
+        self.routing_policy = Director(settings or make_settings(), 7)
         self.now = 100_000.0
-        self.next = 0
-        self.nodes = make_nodes() if nodes is None else nodes
-        self.give(Listed(ListKind.CACHED, tuple(self.nodes)))
+        self.last_request_id = 0
+        self.endpoints = make_endpoints() if nodes is None else nodes
+        self.handle(Listed(ListKind.CACHED, tuple(self.endpoints)))
 
-    def give(self, event: Event, wait: float = 0.0) -> list[Action]:
+    def handle(self, event: Event, wait: float = 0.0) -> list[Action]:
         self.now += wait
-        return self.director.handle(self.now, event)
+        return self.routing_policy.handle(self.now, event)
 
-    def ask(self, key: int = 5, wait: float = 1.0, **changes: Any) -> list[Action]:
-        self.next += 1
-        request = Request(self.next, 0, key, 4000.0, 100.0, 3, 0)
-        return self.give(request._replace(**changes), wait)
+    def request(self, key: int = 5, wait: float = 1.0, **changes: Any) -> list[Action]:
+        self.last_request_id += 1
+        request = Request(self.last_request_id, 0, key, 4000.0, 100.0, 3, 0)
+        return self.handle(request._replace(**changes), wait)
 
-    def end(
+    def end_attempt(
         self,
-        get: Get,
+        attempt: Get,
         outcome: Outcome = Outcome.OK,
         wait: float = 1.0,
         note: int = 0,
-        attempt: int = 0,
+        attempt_index: int = 0,
         closed: bool | None = None,
     ) -> list[Action]:
-        over = outcome is Outcome.OK if closed is None else closed
-        return self.give(Ended(get.req, attempt, get.node, outcome, wait, over, note, 0.0, ()), wait)
+        connection_closed = outcome is Outcome.OK if closed is None else closed
+        return self.handle(
+            Ended(attempt.req, attempt_index, attempt.node, outcome, wait, connection_closed, note, 0.0, ()),
+            wait,
+        )
 
-    def list(self, node: int, kind: ListKind = ListKind.DELTA, **changes: Any) -> list[Action]:
-        entry = next(n for n in self.nodes if n.node == node)
-        return self.give(Listed(kind, (entry._replace(**changes),)))
+    def update_endpoint(self, node: int, kind: ListKind = ListKind.DELTA, **changes: Any) -> list[Action]:
+        entry = next(n for n in self.endpoints if n.node == node)
+        return self.handle(Listed(kind, (entry._replace(**changes),)))
 
 
-def gets(actions: list[Action]) -> list[Get]:
+def started_attempts(actions: list[Action]) -> list[Get]:
     return [act for act in actions if isinstance(act, Get)]
 
 
 @pytest.fixture
-def start() -> Iterator[Callable[..., Stand]]:
-    """Starts routers that are ended with the test; none may log a bug, a failed task or a broken rule."""
-    running: list[Stand] = []
+def start_router() -> Iterator[Callable[..., RouterHarness]]:
+    """Starts routers that end with the test; none may log a bug, a failed task or a violated rule."""
+    running: list[RouterHarness] = []
 
-    def make(**what: Any) -> Stand:
-        running.append(Stand(**what))
+    def make(**options: Any) -> RouterHarness:
+        running.append(RouterHarness(**options))
         return running[-1]
 
     yield make
-    wrong = [
+    unexpected = [
         line
-        for stand in running
+        for router in running
         for event in ("bug", "task-failed", "rule-violation")
-        for line in stand.lines(event)
+        for line in router.log_lines(event)
     ]
-    for stand in running:
-        stand.close()
-    assert not wrong
+    for router in running:
+        router.close()
+    assert not unexpected
 
 
 @pytest.fixture
-def world() -> World:
-    return World()
+def policy() -> PolicyHarness:
+    """A routing policy with the default settings and endpoints."""
+    return PolicyHarness()
 
 
 def known_red() -> Iterator[tuple[str, str]]:
@@ -177,7 +181,7 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Lets the listed tests fail, and no others; one that passes has to leave the list."""
+    """Marks the listed tests as expected failures; a listed test that passes fails the run."""
     listed = dict(known_red())
     if len(listed) > MOST_KNOWN_RED:
         raise pytest.UsageError(f"KNOWN-RED.txt lists more than {MOST_KNOWN_RED} tests")
@@ -187,6 +191,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: Any) -> None:
-    """Prints the tests that were let fail."""
+    """Prints the expected failures."""
     for test, cause in known_red():
         terminalreporter.write_line(f"known red: {test}: {cause}")
--- /dev/null
+++ b/tests/fake_change_log.py
@@ -0,0 +1,34 @@
+"""A change log played by the test."""
+
+from __future__ import annotations
+
+import contextlib
+import queue
+import socket
+import struct
+
+from tcp_endpoints import TcpListener
+from waiting import wait_until
+
+
+class FakeChangeLog:
+    """Records the sequence number each connection resumes from, and sends the events of the test."""
+
+    def __init__(self) -> None:
+        self.resumed_from: queue.Queue[int] = queue.Queue()
+        self.listener = TcpListener(self._serve)
+
+    def _serve(self, sock: socket.socket) -> None:
+        self.resumed_from.put(struct.unpack(">Q", sock.recv(8, socket.MSG_WAITALL))[0])
+        sock.recv(1)
+
+    def send_event(self, number: int, kind: int, payload: bytes = b"") -> None:
+        """Sends one event on the newest connection."""
+        wait_until(lambda: self.listener.accepted, "a connection to the change log")
+        sock = self.listener.accepted[-1]
+        sock.sendall(struct.pack(">IQB", 9 + len(payload), number, kind) + payload)
+
+    def send_partial_frame_byte(self) -> None:
+        """Sends one more byte of a frame that never ends."""
+        with contextlib.suppress(OSError):
+            self.listener.accepted[-1].send(b"\0")
--- /dev/null
+++ b/tests/router_harness.py
@@ -0,0 +1,205 @@
+"""Starts the real router with fake caches and a fake change log for the socket tests."""
+
+from __future__ import annotations
+
+import json
+import os
+import queue
+import resource
+import signal
+import struct
+import subprocess
+import sys
+import tempfile
+from collections.abc import Callable, Sequence
+from pathlib import Path
+from typing import Any
+
+from fake_cache import FakeCache, ReceivedCommand
+from fake_change_log import FakeChangeLog
+from fastcgi_client import FastCgiClient
+from tcp_endpoints import free_address
+from waiting import TEST_TIMEOUT, wait_until
+
+from stonecove.soak.plan import PLAN_VARIABLE, Fault, FaultPlan
+
+SETTINGS: dict[str, Any] = {
+    "areas": ["hub", "edge-1"],
+    "models": ["box", "parent", "origin"],
+    "zone": 1,
+    "fleet_size": 1,
+    "classes": [
+        {"name": "image", "deadline": 9000.0, "on_time": 4000.0, "effect": "pure", "importance": 1.0},
+        {
+            "name": "confirm",
+            "deadline": 9000.0,
+            "on_time": 4000.0,
+            "effect": "side_effect",
+            "importance": 3.0,
+        },
+        {"name": "page", "deadline": 9000.0, "on_time": 4000.0, "effect": "pure", "importance": 1.0},
+    ],
+    "domain": {
+        "shield_kind": 1,
+        "store_kind": 2,
+        "client_kb_per_s": 9e6,
+        "zone_link_kb_per_s": [0.0, 9e9],
+        "instances_by_zone": [0, 1],
+        "never_kept": [False, True, False],
+        "heed_within": 500.0,
+        "lifetime_by_class": [0.0, 0.0, 20000.0],
+        "purge_settles": 6000.0,
+        "joins": True,
+    },
+    "limits": {
+        "most_tries": 8,
+        "cancel": True,
+        "second_copies": True,
+        "connect_timeout": 400.0,
+        "retry_after": True,
+        "max_retry_after": 1000.0,
+        "conn_idle": 15000.0,
+        "streams_per_conn": 100,
+    },
+    "report": {"fields": ["busy_reqs", "x0"], "how": "piggyback"},
+    "weights": "nominal",
+    "rules": {
+        "drain_grace": 250.0,
+        "cold_from": 0.25,
+        "warm_up": 16000.0,
+        "tip_multiple": 4.0,
+        "overload_for": 3000.0,
+    },
+}
+
+
+class RouterHarness:
+    """A running edge router with two caches, a parent and an origin, and its change log."""
+
+    def __init__(
+        self,
+        descriptors: int | None = None,
+        memory_mb: float = 192,
+        sockets: int = 1024,
+        env: dict[str, str] | None = None,
+        faults: Sequence[Fault] = (),
+        **settings: Any,
+    ) -> None:
+        self.commands: queue.Queue[ReceivedCommand] = queue.Queue()
+        self.caches = [FakeCache(0x10 + place, self.commands) for place in range(2)]
+        self.change_log = FakeChangeLog()
+        self.address = free_address()
+        nodes = [
+            self.instance_config(cache.endpoint_id, cache.listener.port, 1, "box") for cache in self.caches
+        ]
+        nodes += [self.instance_config(0x20, 1, 0, "parent"), self.instance_config(0x30, 1, 0, "origin")]
+        first = {"seq": 1, "fleet": {"generation": 1, "reset": True, "instances": nodes}}
+        known = {"seq": 1, "results": [first]}
+        self.config: dict[str, Any] = {
+            "name": "n0",
+            "listen": ":".join(map(str, self.address)),
+            "seed": "8c1f30d27a5be964",
+            "known": known,
+            "limits": {"cores": 1.0, "memory_mb": memory_mb, "sockets": sockets},
+            "changelog": f"127.0.0.1:{self.change_log.listener.port}",
+            "settings": {**SETTINGS, **settings},
+        }
+        self._descriptors, self._env = descriptors, env or {}
+        self._module = "stonecove"
+        if faults:
+            self._module = "stonecove.soak.shim"
+            self._env[PLAN_VARIABLE] = FaultPlan(list(faults)).to_json()
+        self.process = self.start()
+
+    @staticmethod
+    def instance_config(endpoint_id: int, port: int, zone: int, kind: str) -> dict[str, Any]:
+        """The entry of an endpoint in the configuration file."""
+        return {
+            "instanceId": f"s-{endpoint_id:08x}",
+            "hostPort": f"127.0.0.1:{port}",
+            "machineType": kind,
+            "cell": 0,
+            "zone": SETTINGS["areas"][zone],
+            "lifecycle": "up",
+            "weight": 9000,
+            "startedAtMs": 0,
+        }
+
+    def endpoint_record(self, cache: FakeCache, state: int, started: int = 0, port: int = 0) -> bytes:
+        """The record of a cache in an event of the change log."""
+        return struct.pack(
+            ">IIHBBBHIQ",
+            cache.endpoint_id,
+            0x7F000001,
+            port or cache.listener.port,
+            state,
+            1,
+            0,
+            0,
+            9_000_000,
+            started,
+        )
+
+    def start(self) -> subprocess.Popen[bytes]:
+        """Starts the program and waits until it is live or has ended."""
+        self.directory = tempfile.TemporaryDirectory()
+        path = Path(self.directory.name, "config.json")
+        path.write_text(json.dumps(self.config))
+        limit = self._descriptors
+
+        def lower_descriptor_limit() -> None:
+            if limit:
+                resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit))
+
+        with Path(self.directory.name, "log").open("wb") as output:
+            process = subprocess.Popen(
+                [sys.executable, "-m", self._module],
+                stderr=output,
+                preexec_fn=lower_descriptor_limit,
+                env={**os.environ, **self._env, "RELAY_CONFIG": str(path)},
+            )
+        wait_until(lambda: process.poll() is not None or self.is_live(), "the router is ready")
+        return process
+
+    def reload(self, text: str) -> None:
+        """Replaces the configuration file and sends SIGHUP."""
+        path = Path(self.directory.name, "config.json")
+        path.with_suffix(".new").write_text(text)
+        path.with_suffix(".new").rename(path)
+        self.process.send_signal(signal.SIGHUP)
+
+    def is_live(self) -> bool:
+        """Whether the router answers its liveness check."""
+        try:
+            return self.connect().request(path="/status/live").status == 200
+        except (OSError, EOFError):
+            return False
+
+    def connect(self) -> FastCgiClient:
+        """A new client connection."""
+        return FastCgiClient(self.address)
+
+    def next_command(self, command: str = "fetch") -> ReceivedCommand:
+        """The next command of this name that a cache receives; others are dropped."""
+        while (received := self.commands.get(timeout=TEST_TIMEOUT)).command != command:
+            pass
+        return received
+
+    def log_lines(self, event: str) -> list[str]:
+        """The lines of the router's log for one event."""
+        text = Path(self.directory.name, "log").read_text()
+        return [line for line in text.splitlines() if line.split(" ")[1:2] == [event]]
+
+    @staticmethod
+    def wait_until(condition: Callable[[], object], description: str) -> None:
+        """Polls the condition until it is true; fails the test if it stays false."""
+        wait_until(condition, description)
+
+    def close(self) -> None:
+        """Kills the router and closes its peers."""
+        if self.process.poll() is None:
+            self.process.send_signal(signal.SIGKILL)
+            self.process.wait()
+        for listener in (self.change_log.listener, *[cache.listener for cache in self.caches]):
+            listener.close()
+        self.directory.cleanup()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -17,6 +17,11 @@
 import pytest
 import trio
 import trio.testing
+from fastcgi_client import FastCgiClient, fastcgi_record
+from router_harness import SETTINGS, RouterHarness
+from tcp_endpoints import UnresponsiveAddress, free_address
+from waiting import TEST_TIMEOUT
+
 from stonecove.ground.clock import Clock
 from stonecove.ground.log import divert
 from stonecove.memory.budget import Budget
@@ -25,8 +30,6 @@
 from stonecove.wire.follow import ChangeLog
 from stonecove.wire.session import MOST_TURNED_AWAY, Session
 
-from stand import PATIENCE, SETTINGS, Client, Hanging, Stand, free_address, record
-
 TIME_WAIT = "06"
 
 
@@ -34,22 +37,22 @@
     return {**SETTINGS["limits"], **changes}
 
 
-def settle(client: Client) -> None:
+def wait_for_decisions(client: FastCgiClient) -> None:
     """Returns once what was sent before has been decided: each round takes the router a turn of its loop."""
     for _ in range(5):
-        assert client.ask(ident=9, path="/status/live").status == 200
+        assert client.request(request_id=9, path="/status/live").status == 200
 
 
-def refused(stand: Stand) -> bool:
+def refuses_connections(router: RouterHarness) -> bool:
     """Whether the router takes no new connection."""
     try:
-        stand.client().sock.close()
+        router.connect().sock.close()
     except ConnectionRefusedError:
         return True
     return False
 
 
-class Health:
+class HealthHandler:
     """A handler that answers whatever it is asked."""
 
     def __init__(self) -> None:
@@ -69,49 +72,57 @@
         """Nothing is out."""
 
 
-def connections_to(hanging: Hanging) -> int:
+def connections_to(unresponsive: UnresponsiveAddress) -> int:
     """How many connections the router has under way there; two more are the fillers."""
     rows = [line.split() for line in Path("/proc/net/tcp").read_text().splitlines()[1:]]
-    return sum(int(row[2].split(":")[1], 16) == hanging.port and row[3] != TIME_WAIT for row in rows) - 2
+    return sum(int(row[2].split(":")[1], 16) == unresponsive.port and row[3] != TIME_WAIT for row in rows) - 2
 
 
 # -- clients that leave --
 
 
-def test_what_waits_for_a_connection_is_not_sent_once_the_client_left(start: Callable[..., Stand]) -> None:
+def test_what_waits_for_a_connection_is_not_sent_once_the_client_left(
+    start_router: Callable[..., RouterHarness],
+) -> None:
     """Also where nothing may be cancelled: what was never sent needs no cancelling."""
-    stand = start(limits=limits(connect_timeout=28_000.0, conn_idle=600_000.0, cancel=False))
-    hanging, (slow, other) = Hanging(), stand.caches
-    stand.log.tell(2, 2, stand.record(slow, 0, port=hanging.port) + stand.record(other, 1))
-    stand.wait(lambda: len(stand.lines("node")) == 6, "the change")
-    left, stays = stand.client(), stand.client()
-    left.send(1, X_TXN="00000000000000aa", X_TTL_MS="30000")
-    settle(left)
-    left.sock.sendall(record(2, 1))
-    assert left.answer()[:2] == (1, 0)
-    stays.send(1, X_TXN="00000000000000bb", X_TTL_MS="30000")
-    settle(stays)
-    assert connections_to(hanging) == 1  # the second request goes by the connection that the first gave up
-    asked = hanging.open().recv(1000)
+    router = start_router(limits=limits(connect_timeout=28_000.0, conn_idle=600_000.0, cancel=False))
+    unresponsive, (slow, other) = UnresponsiveAddress(), router.caches
+    router.change_log.send_event(
+        2, 2, router.endpoint_record(slow, 0, port=unresponsive.port) + router.endpoint_record(other, 1)
+    )
+    router.wait_until(lambda: len(router.log_lines("node")) == 6, "the change")
+    left, stays = router.connect(), router.connect()
+    left.send_request(1, X_TXN="00000000000000aa", X_TTL_MS="30000")
+    wait_for_decisions(left)
+    left.sock.sendall(fastcgi_record(2, 1))
+    assert left.read_response()[:2] == (1, 0)
+    stays.send_request(1, X_TXN="00000000000000bb", X_TTL_MS="30000")
+    wait_for_decisions(stays)
+    assert (
+        connections_to(unresponsive) == 1
+    )  # the second request goes by the connection that the first gave up
+    asked = unresponsive.accept_connection().recv(1000)
     assert b"00000000000000bb" in asked and b"00000000000000aa" not in asked
-    hanging.close()
+    unresponsive.close()
 
 
 @pytest.mark.parametrize("how", ["abort", "close"])
-def test_a_client_that_is_being_left_is_still_seen_to_leave(start: Callable[..., Stand], how: str) -> None:
-    stand = start()
-    client = stand.client()
-    client.send(1)
-    fetch = stand.command()
+def test_a_client_that_is_being_left_is_still_seen_to_leave(
+    start_router: Callable[..., RouterHarness], how: str
+) -> None:
+    router = start_router()
+    client = router.connect()
+    client.send_request(1)
+    fetch = router.next_command()
     for _ in range(MOST_TURNED_AWAY + 1):
-        assert client.ask(ident=2, path="/svc/nothing").status == 404
-    client.send(3)  # behind that, nothing is taken any more
-    assert client.answer()[:2] == (3, 0)
+        assert client.request(request_id=2, path="/svc/nothing").status == 404
+    client.send_request(3)  # behind that, nothing is taken any more
+    assert client.read_response()[:2] == (3, 0)
     if how == "abort":
-        client.sock.sendall(record(2, 1))
+        client.sock.sendall(fastcgi_record(2, 1))
     else:
         client.sock.shutdown(socket.SHUT_RDWR)
-    assert stand.command("abort").txn == fetch.txn
+    assert router.next_command("abort").request_id == fetch.request_id
 
 
 def test_a_connection_with_a_request_unread_is_not_retired() -> None:
@@ -121,20 +132,24 @@
         ours, theirs = socket.socketpair()
         with ours, theirs:
             ours.setblocking(False)
-            handler, budget = Health(), Budget()
+            handler, budget = HealthHandler(), Budget()
             budget.most = 1e6
             connection = Connection(ours, handler, Clock().now, budget)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(connection.run)
                 await trio.testing.wait_all_tasks_blocked()
-                theirs.sendall(Client.request(Client.__new__(Client), path="/status/live"))
+                theirs.sendall(
+                    FastCgiClient.encode_request(FastCgiClient.__new__(FastCgiClient), path="/status/live")
+                )
                 connection.retire("room for others")
                 assert not connection.leaving()
-                with trio.fail_after(PATIENCE):
+                with trio.fail_after(TEST_TIMEOUT):
                     await handler.came.wait()
                 assert b"200 OK" in theirs.recv(1000)
                 connection.retire("room for others")
-                theirs.sendall(Client.request(Client.__new__(Client), path="/status/live"))
+                theirs.sendall(
+                    FastCgiClient.encode_request(FastCgiClient.__new__(FastCgiClient), path="/status/live")
+                )
                 assert theirs.recv(1000) == b""  # the half-close, and no reset
                 theirs.shutdown(socket.SHUT_WR)
             assert handler.asked == 1  # what came behind the half-close was not taken
@@ -145,23 +160,25 @@
 # -- discovery --
 
 
-def test_the_watch_comes_back_while_idle_clients_fill_all_places(start: Callable[..., Stand]) -> None:
+def test_the_watch_comes_back_while_idle_clients_fill_all_places(
+    start_router: Callable[..., RouterHarness],
+) -> None:
     """The limits leave a reserve: places for clients, connections to caches and our own fit in together."""
-    stand = start(sockets=64, descriptors=64)  # of which clients get 32
-    busy = [stand.client() for _ in range(8)]
+    router = start_router(sockets=64, descriptors=64)  # of which clients get 32
+    busy = [router.connect() for _ in range(8)]
     for client in busy:
-        client.send()
-    fetches = [stand.command() for _ in busy]  # each on a connection of its own
-    idle = [stand.client() for _ in range(60)]
-    settle(busy[0])
-    assert stand.log.since.get(timeout=PATIENCE) == 1
-    stand.log.listener.accepted[-1].shutdown(socket.SHUT_RDWR)
-    assert stand.log.since.get(timeout=PATIENCE) == 1
-    stand.log.tell(2, 2, stand.record(stand.caches[0], 1))
-    stand.wait(lambda: len(stand.lines("node")) == 5, "the next event")
+        client.send_request()
+    fetches = [router.next_command() for _ in busy]  # each on a connection of its own
+    idle = [router.connect() for _ in range(60)]
+    wait_for_decisions(busy[0])
+    assert router.change_log.resumed_from.get(timeout=TEST_TIMEOUT) == 1
+    router.change_log.listener.accepted[-1].shutdown(socket.SHUT_RDWR)
+    assert router.change_log.resumed_from.get(timeout=TEST_TIMEOUT) == 1
+    router.change_log.send_event(2, 2, router.endpoint_record(router.caches[0], 1))
+    router.wait_until(lambda: len(router.log_lines("node")) == 5, "the next event")
     for fetch in fetches:
         fetch.reply(body=b"served")
-    assert {client.answer().body for client in busy} == {b"served"}
+    assert {client.read_response().body for client in busy} == {b"served"}
     for client in idle:
         client.sock.close()
 
@@ -197,104 +214,117 @@
 # -- shutdown --
 
 
-def test_a_request_that_is_half_sent_at_the_end_of_the_grace_is_answered(start: Callable[..., Stand]) -> None:
-    stand = start()
-    client = stand.client()
-    whole = client.request()
+def test_a_request_that_is_half_sent_at_the_end_of_the_grace_is_answered(
+    start_router: Callable[..., RouterHarness],
+) -> None:
+    router = start_router()
+    client = router.connect()
+    whole = client.encode_request()
     client.sock.sendall(whole[:40])
-    stand.process.send_signal(signal.SIGTERM)
-    stand.wait(lambda: refused(stand), "the end of the grace")
+    router.process.send_signal(signal.SIGTERM)
+    router.wait_until(lambda: refuses_connections(router), "the end of the grace")
     client.sock.sendall(whole[40:])
-    stand.command().reply(body=b"whole")
-    assert client.answer().body == b"whole"
-    assert stand.process.wait(PATIENCE) == 0
+    router.next_command().reply(body=b"whole")
+    assert client.read_response().body == b"whole"
+    assert router.process.wait(TEST_TIMEOUT) == 0
 
 
-def test_a_connection_at_rest_is_half_closed_at_the_stop_and_not_reset(start: Callable[..., Stand]) -> None:
-    stand = start()
-    client = stand.client()
-    settle(client)
-    stand.process.send_signal(signal.SIGTERM)
+def test_a_connection_at_rest_is_half_closed_at_the_stop_and_not_reset(
+    start_router: Callable[..., RouterHarness],
+) -> None:
+    router = start_router()
+    client = router.connect()
+    wait_for_decisions(client)
+    router.process.send_signal(signal.SIGTERM)
     assert client.sock.recv(1) == b""
-    client.send()
+    client.send_request()
     assert client.sock.recv(1) == b""
     client.sock.shutdown(socket.SHUT_WR)
-    assert stand.process.wait(PATIENCE) == 0 and stand.commands.empty()
+    assert router.process.wait(TEST_TIMEOUT) == 0 and router.commands.empty()
 
 
-def test_what_still_waits_to_be_accepted_at_the_stop_is_answered(start: Callable[..., Stand]) -> None:
+def test_what_still_waits_to_be_accepted_at_the_stop_is_answered(
+    start_router: Callable[..., RouterHarness],
+) -> None:
     """All places stay taken until the last moment, so nobody who waits was accepted before."""
-    stand = start(sockets=16)  # of which clients get 8
-    held = [stand.client() for _ in range(8)]
+    router = start_router(sockets=16)  # of which clients get 8
+    held = [router.connect() for _ in range(8)]
     for client in held:
-        client.send(path="/svc/confirm", X_TTL_MS="60000")
+        client.send_request(path="/svc/confirm", X_TTL_MS="60000")
     for _ in held:
-        stand.command()
-    late = [stand.client() for _ in range(2)]
+        router.next_command()
+    late = [router.connect() for _ in range(2)]
     for client in late:
-        client.send()
-    stand.process.send_signal(signal.SIGTERM)
-    assert {client.answer().status for client in late} == {503}
-    assert {client.answer().status for client in held} == {502}
-    assert stand.process.wait(PATIENCE) == 0
+        client.send_request()
+    router.process.send_signal(signal.SIGTERM)
+    assert {client.read_response().status for client in late} == {503}
+    assert {client.read_response().status for client in held} == {502}
+    assert router.process.wait(TEST_TIMEOUT) == 0
 
 
 @pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGTERM])
 def test_a_signal_during_the_start_is_kept_until_all_is_up(
-    start: Callable[..., Stand], tmp_path: Path, number: signal.Signals
+    start_router: Callable[..., RouterHarness], tmp_path: Path, number: signal.Signals
 ) -> None:
-    stand = start()
-    stand.process.kill()
-    stand.process.wait(PATIENCE)
+    router = start_router()
+    router.process.kill()
+    router.process.wait(TEST_TIMEOUT)
     path, whole = tmp_path / "config.json", tmp_path / "whole.json"
-    whole.write_text(json.dumps(stand.config))
+    whole.write_text(json.dumps(router.config))
     os.mkfifo(path)
-    with Path(stand.folder.name, "log").open("wb") as output:
-        stand.process = subprocess.Popen(
+    with Path(router.directory.name, "log").open("wb") as output:
+        router.process = subprocess.Popen(
             [sys.executable, "-m", "stonecove"], stderr=output, env={**os.environ, "RELAY_CONFIG": str(path)}
         )
     with path.open("w") as pipe:  # opens once the router reads it, and so has begun to start
         whole.rename(path)
-        stand.process.send_signal(number)
-        pipe.write(json.dumps(stand.config))
+        router.process.send_signal(number)
+        pipe.write(json.dumps(router.config))
     word = "reloaded" if number == signal.SIGHUP else "stopped"
-    stand.wait(lambda: stand.lines(word) or stand.process.poll() is not None, "what the signal asks for")
-    assert stand.lines("ready") and stand.lines(word)
+    router.wait_until(
+        lambda: router.log_lines(word) or router.process.poll() is not None, "what the signal asks for"
+    )
+    assert router.log_lines("ready") and router.log_lines(word)
 
 
-def test_a_router_that_stops_does_not_call_itself_live(start: Callable[..., Stand]) -> None:
-    stand = start()
-    client = stand.client()
-    whole = client.request(path="/status/live")
+def test_a_router_that_stops_does_not_call_itself_live(start_router: Callable[..., RouterHarness]) -> None:
+    router = start_router()
+    client = router.connect()
+    whole = client.encode_request(path="/status/live")
     client.sock.sendall(whole[:40])  # so that the connection is not at rest
-    stand.process.send_signal(signal.SIGTERM)
-    stand.wait(lambda: stand.lines("stopping"), "the stop")
+    router.process.send_signal(signal.SIGTERM)
+    router.wait_until(lambda: router.log_lines("stopping"), "the stop")
     client.sock.sendall(whole[40:])
-    assert client.answer().status == 503
+    assert client.read_response().status == 503
 
 
-def test_a_waiting_repeat_is_not_sent_after_its_window(start: Callable[..., Stand]) -> None:
+def test_a_waiting_repeat_is_not_sent_after_its_window(start_router: Callable[..., RouterHarness]) -> None:
     window = 700.0
     classes = [{**cls, "effect": "token", "group": "all", "window": window} for cls in SETTINGS["classes"]]
-    stand = start(classes=classes, limits=limits(connect_timeout=28_000.0, conn_idle=600_000.0))
-    client, probe = stand.client(), stand.client()
-    client.send(X_TXN_KEY="k1", X_TTL_MS="30000")
-    first = stand.command()
+    router = start_router(classes=classes, limits=limits(connect_timeout=28_000.0, conn_idle=600_000.0))
+    client, probe = router.connect(), router.connect()
+    client.send_request(X_TXN_KEY="k1", X_TTL_MS="30000")
+    first = router.next_command()
     sent = time.monotonic()
-    hanging, other = Hanging(), next(cache for cache in stand.caches if cache is not first.cache)
-    stand.log.tell(2, 2, stand.record(other, 0, port=hanging.port))
-    stand.wait(lambda: len(stand.lines("node")) == 5, "the change")
+    unresponsive, other = (
+        UnresponsiveAddress(),
+        next(cache for cache in router.caches if cache is not first.cache),
+    )
+    router.change_log.send_event(2, 2, router.endpoint_record(other, 0, port=unresponsive.port))
+    router.wait_until(lambda: len(router.log_lines("node")) == 5, "the change")
     first.reply("500")
-    settle(probe)
-    assert connections_to(hanging) == 1  # the repeat was ordered within its window
+    wait_for_decisions(probe)
+    assert connections_to(unresponsive) == 1  # the repeat was ordered within its window
     while time.monotonic() < sent + window / 1000.0:
         time.sleep(0.05)
     came: list[bytes] = []
-    opening = threading.Thread(target=lambda: came.append(hanging.open().recv(1000)), daemon=True)
+    opening = threading.Thread(
+        target=lambda: came.append(unresponsive.accept_connection().recv(1000)), daemon=True
+    )
     opening.start()  # the kernel may forget a connection on which nothing is sent: then none is accepted
-    assert client.answer().status == 503
-    stand.process.send_signal(signal.SIGTERM)
-    assert stand.process.wait(PATIENCE) == 0
-    hanging.close()
-    opening.join(PATIENCE)
+    assert client.read_response().status == 503
+    router.process.send_signal(signal.SIGTERM)
+    assert router.process.wait(TEST_TIMEOUT) == 0
+    unresponsive.close()
+    opening.join(TEST_TIMEOUT)
     assert came in ([], [b""])  # not a byte of the repeat went out
--- a/tests/test_example.py
+++ b/tests/test_example.py
@@ -10,7 +10,7 @@
 from contextlib import contextmanager
 from pathlib import Path
 
-from stand import free_address
+from tcp_endpoints import free_address
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
 
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -7,9 +7,9 @@
 from collections.abc import Iterator
 
 import pytest
-from conftest import CACHES, World
+from conftest import CACHES, PolicyHarness
+from router_harness import SETTINGS
 
-from stand import SETTINGS
 from stonecove.exchange import Answer, Asked, Verdict
 from stonecove.ground.clock import Clock
 from stonecove.ground.timers import Timers
@@ -65,7 +65,7 @@
         self.channels.append(Channel(owner, self.clock.now))
         return self.channels[-1]
 
-    def ask(self, client: Client) -> None:
+    def request(self, client: Client) -> None:
         request = self.route.asked(
             Asked(
                 "9b1f03aa5c7e2d41",
@@ -88,7 +88,7 @@
 
 def test_a_connection_that_is_over_is_freed_with_its_buffer() -> None:
     bench = Bench()
-    bench.ask(Client())
+    bench.request(Client())
     assert len(bench.channels) == 1
     held = weakref.ref(bench.channels[0].buffer)
     bench.channels.pop(0).ended("refused")
@@ -98,7 +98,7 @@
 def test_a_request_that_is_over_is_freed_with_its_attempts() -> None:
     bench, client = Bench(), Client()
     held = weakref.ref(client)
-    bench.ask(client)
+    bench.request(client)
     while bench.channels:
         bench.channels.pop(0).ended("refused")
     assert [answer.verdict for answer in client.answers] == [Verdict.REFUSED]
@@ -106,8 +106,8 @@
     assert held() is None
 
 
-def test_the_orders_of_an_old_list_are_freed_with_it(world: World) -> None:
-    world.ask(key=1)
-    held = [weakref.ref(world.director._caches), weakref.ref(world.director._parents)]
-    world.list(CACHES[0], ListKind.DELTA, weight=3.0)
+def test_the_orders_of_an_old_list_are_freed_with_it(policy: PolicyHarness) -> None:
+    policy.request(key=1)
+    held = [weakref.ref(policy.routing_policy._caches), weakref.ref(policy.routing_policy._parents)]
+    policy.update_endpoint(CACHES[0], ListKind.DELTA, weight=3.0)
     assert [ring() for ring in held] == [None, None]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -5,7 +5,7 @@
 import math
 
 import pytest
-from conftest import CACHES, ORIGIN, World, gets, make_nodes, make_settings
+from conftest import CACHES, ORIGIN, PolicyHarness, make_endpoints, make_settings, started_attempts
 
 from stonecove.interface import (
     Ended,
@@ -24,15 +24,15 @@
 READY = NodeState.READY
 
 
-def answered(world: World, requests: int) -> list[Get]:
+def request_and_answer_each(policy: PolicyHarness, requests: int) -> list[Get]:
     """Asks so many times; every request is sent, refused or failed at once."""
     sent = []
     for key in range(requests):
-        actions = world.ask(key=key)
-        sent += gets(actions)
-        assert gets(actions) or isinstance(actions[-1], (Refuse, Fail))
-        for get in gets(actions):
-            world.end(get, note=Note.HIT)
+        actions = policy.request(key=key)
+        sent += started_attempts(actions)
+        assert started_attempts(actions) or isinstance(actions[-1], (Refuse, Fail))
+        for attempt in started_attempts(actions):
+            policy.end_attempt(attempt, note=Note.HIT)
     return sent
 
 
@@ -40,9 +40,11 @@
     nodes = [Node(n + 1, 0, 0.0, READY, n, n % 40, 1.0) for n in range(400)]
     nodes += [Node(1000 + n, 1, 0.0, READY, 0, 0, 1.0) for n in range(100)]
     settings = make_settings(fleet=600, zone_directors=(0, *[15] * 40), zone_link=(0.0, *[9000.0] * 40))
-    sent = answered(World(settings, [*nodes, Node(ORIGIN + 5000, 2, 0.0, READY, 0, 0, 1.0)]), 300)
-    assert len({get.source for get in sent}) > 50
-    assert {get.node % 40 for get in sent} == {2}
+    sent = request_and_answer_each(
+        PolicyHarness(settings, [*nodes, Node(ORIGIN + 5000, 2, 0.0, READY, 0, 0, 1.0)]), 300
+    )
+    assert len({attempt.source for attempt in sent}) > 50
+    assert {attempt.node % 40 for attempt in sent} == {2}
 
 
 @pytest.mark.parametrize(
@@ -55,39 +57,45 @@
     ],
 )
 def test_odd_shares(changes: dict[str, int]) -> None:
-    world = World(make_settings(**changes), [n._replace(zone=changes.get("zone", 1)) for n in make_nodes()])
-    assert answered(world, 60)
+    policy = PolicyHarness(
+        make_settings(**changes), [n._replace(zone=changes.get("zone", 1)) for n in make_endpoints()]
+    )
+    assert request_and_answer_each(policy, 60)
 
 
 def test_a_location_with_one_cache() -> None:
-    sent = answered(World(nodes=[n for n in make_nodes() if n.node not in CACHES[1:]]), 40)
-    assert {get.node for get in sent} == {CACHES[0]}
+    sent = request_and_answer_each(
+        PolicyHarness(nodes=[n for n in make_endpoints() if n.node not in CACHES[1:]]), 40
+    )
+    assert {attempt.node for attempt in sent} == {CACHES[0]}
 
 
 def test_all_caches_replaced_at_once_while_hundreds_are_held() -> None:
-    world = World(make_settings(most_attempts=6), [n._replace(weight=500.0) for n in make_nodes()])
-    held = [gets(world.ask(key=n, size=1.0))[0] for n in range(300)]
-    fresh = [Node(100 + n, 0, world.now, READY, 0, 1, 1.0) for n in range(4)]
-    world.give(Listed(ListKind.FULL, (*fresh, *[n for n in world.nodes if n.node not in CACHES])))
-    for get in held:
-        actions = world.give(Ended(get.req, 0, get.node, Outcome.RESET, 5.0, False, 0, 0.0, ()))
-        assert all(again.node >= 100 for again in gets(actions))
-        assert gets(actions) or isinstance(actions[-1], Refuse)
+    policy = PolicyHarness(
+        make_settings(most_attempts=6), [n._replace(weight=500.0) for n in make_endpoints()]
+    )
+    held = [started_attempts(policy.request(key=n, size=1.0))[0] for n in range(300)]
+    fresh = [Node(100 + n, 0, policy.now, READY, 0, 1, 1.0) for n in range(4)]
+    policy.handle(Listed(ListKind.FULL, (*fresh, *[n for n in policy.endpoints if n.node not in CACHES])))
+    for attempt in held:
+        actions = policy.handle(Ended(attempt.req, 0, attempt.node, Outcome.RESET, 5.0, False, 0, 0.0, ()))
+        assert all(again.node >= 100 for again in started_attempts(actions))
+        assert started_attempts(actions) or isinstance(actions[-1], Refuse)
 
 
 def test_weights_that_change_with_every_list() -> None:
-    world = World(make_settings(weighted=True))
+    policy = PolicyHarness(make_settings(weighted=True))
     for turn, weight in enumerate((0.0, 1e-9, 4.0, 1e9, -3.0) * 4):
-        world.list(CACHES[turn % 4], weight=weight)
-        for get in gets(world.ask(key=turn)):
-            world.end(get, note=Note.HIT)
+        policy.update_endpoint(CACHES[turn % 4], weight=weight)
+        for attempt in started_attempts(policy.request(key=turn)):
+            policy.end_attempt(attempt, note=Note.HIT)
 
 
 @pytest.mark.parametrize("load", [(), (0.0,), (math.nan, math.inf, -1.0, 1e30, 7.0)])
 def test_reports_of_any_kind_mislead_nobody(load: tuple[float, ...]) -> None:
-    world = World(make_settings(report_fields=("busy_reqs", "x1")))
-    home = gets(world.ask(key=1))[0]
-    world.give(Ended(home.req, 0, home.node, Outcome.OK, 1.0, True, Note.HIT, 0.0, load))
+    policy = PolicyHarness(make_settings(report_fields=("busy_reqs", "x1")))
+    home = started_attempts(policy.request(key=1))[0]
+    policy.handle(Ended(home.req, 0, home.node, Outcome.OK, 1.0, True, Note.HIT, 0.0, load))
     for node in (home.node, 999):
-        assert world.give(Probed(node, True, 1.0, load)) == []
-    assert gets(world.ask(key=1))[0].node == home.node
+        assert policy.handle(Probed(node, True, 1.0, load)) == []
+    assert started_attempts(policy.request(key=1))[0].node == home.node
--- a/tests/test_unread_input.py
+++ b/tests/test_unread_input.py
@@ -14,8 +14,10 @@
 from pathlib import Path
 
 import pytest
+from fake_cache import ReceivedCommand
+from fastcgi_client import FastCgiClient, fastcgi_record
+from router_harness import SETTINGS, RouterHarness
 
-from stand import SETTINGS, Client, Fetch, Stand, record
 from stonecove.soak.plan import Call, Fault
 
 EXCESS = 150  # ms by which the limit passed on may exceed what the client has left
@@ -23,27 +25,27 @@
 
 
 @contextlib.contextmanager
-def stopped(stand: Stand) -> Iterator[None]:
+def paused(router: RouterHarness) -> Iterator[None]:
     """The router reads nothing meanwhile."""
-    stand.process.send_signal(signal.SIGSTOP)
+    router.process.send_signal(signal.SIGSTOP)
     yield
-    stand.process.send_signal(signal.SIGCONT)
+    router.process.send_signal(signal.SIGCONT)
 
 
-def fetches(stand: Stand, count: int) -> list[Fetch]:
+def fetches(router: RouterHarness, count: int) -> list[ReceivedCommand]:
     """The next fetches, as many as there are within a second, so many at most."""
-    found: list[Fetch] = []
+    found: list[ReceivedCommand] = []
     with contextlib.suppress(queue.Empty):
         while len(found) < count:
-            if (fetch := stand.commands.get(timeout=1.0)).word == "fetch":
+            if (fetch := router.commands.get(timeout=1.0)).command == "fetch":
                 found.append(fetch)
     return found
 
 
-def leave(client: Client, how: str) -> None:
+def disconnect(client: FastCgiClient, how: str) -> None:
     """The client no longer waits for its request 1."""
     if how == "abort":
-        client.sock.sendall(record(2, 1))
+        client.sock.sendall(fastcgi_record(2, 1))
     elif how == "close":
         client.sock.shutdown(socket.SHUT_RDWR)
     else:
@@ -53,94 +55,102 @@
 
 @pytest.mark.parametrize("connection", ["resting", "new"])
 def test_the_time_that_a_request_waited_unread_is_taken_off_its_deadline(
-    start: Callable[..., Stand], connection: str
+    start_router: Callable[..., RouterHarness], connection: str
 ) -> None:
-    stand = start()
-    client = stand.client()
-    assert client.ask(path="/status/live").status == 200
-    with stopped(stand):
+    router = start_router()
+    client = router.connect()
+    assert client.request(path="/status/live").status == 200
+    with paused(router):
         if connection == "new":
-            client = stand.client()
-        client.send(X_TTL_MS="3000")
+            client = router.connect()
+        client.send_request(X_TTL_MS="3000")
         sent = time.monotonic()
         time.sleep(UNREAD)
-    limit = int(stand.command().fields["limit"])
+    limit = int(router.next_command().fields["limit"])
     left = 3000 - (time.monotonic() - sent) * 1000
     assert limit <= left + EXCESS
 
 
-def test_of_requests_that_came_one_by_one_the_oldest_counts(start: Callable[..., Stand]) -> None:
-    stand = start()
-    client, sent = stand.client(), {}
-    assert client.ask(path="/status/live").status == 200
-    with stopped(stand):
+def test_of_requests_that_came_one_by_one_the_oldest_counts(
+    start_router: Callable[..., RouterHarness],
+) -> None:
+    router = start_router()
+    client, sent = router.connect(), {}
+    assert client.request(path="/status/live").status == 200
+    with paused(router):
         for ident in (1, 2, 3):
-            client.send(ident, X_TXN=f"{ident:016x}", X_TTL_MS="3000")
+            client.send_request(ident, X_TXN=f"{ident:016x}", X_TTL_MS="3000")
             sent[f"{ident:016x}"] = time.monotonic()
             time.sleep(0.3)
-    for fetch in fetches(stand, 3):
-        left = 3000 - (time.monotonic() - sent[fetch.txn]) * 1000
+    for fetch in fetches(router, 3):
+        left = 3000 - (time.monotonic() - sent[fetch.request_id]) * 1000
         assert int(fetch.fields["limit"]) <= left + EXCESS
 
 
 @pytest.mark.parametrize("how", ["abort", "close", "reset"])
-def test_no_attempt_begins_for_a_client_that_left_unseen(start: Callable[..., Stand], how: str) -> None:
+def test_no_attempt_begins_for_a_client_that_left_unseen(
+    start_router: Callable[..., RouterHarness], how: str
+) -> None:
     """Second copies fall due, and the clients leave, while the router is stopped.
 
     Which of the two it looks at first is left to chance, so there are several rounds.
     """
     classes = [{**entry, "on_time": 400.0} for entry in SETTINGS["classes"]]
-    stand = start(classes=classes)
+    router = start_router(classes=classes)
     for _ in range(5):
-        clients = [stand.client() for _ in range(3)]
+        clients = [router.connect() for _ in range(3)]
         for client in clients:
-            client.send()
+            client.send_request()
         for _ in clients:
-            stand.command()
-        with stopped(stand):
+            router.next_command()
+        with paused(router):
             for client in clients:
-                leave(client, how)
+                disconnect(client, how)
             time.sleep(0.4)
-        assert fetches(stand, 1) == []
+        assert fetches(router, 1) == []
 
 
-def test_a_client_that_only_ends_its_sending_gets_its_answer(start: Callable[..., Stand]) -> None:
+def test_a_client_that_only_ends_its_sending_gets_its_answer(
+    start_router: Callable[..., RouterHarness],
+) -> None:
     """It can't be told from one that left, so nothing new is begun; but a final answer is owed."""
-    stand = start()
-    client = stand.client()
-    client.send()
-    stand.command()
+    router = start_router()
+    client = router.connect()
+    client.send_request()
+    router.next_command()
     client.sock.shutdown(socket.SHUT_WR)
-    assert client.answer().status in (200, 502, 503)
+    assert client.read_response().status in (200, 502, 503)
 
 
 def test_of_requests_on_a_connection_that_waited_to_be_accepted_the_oldest_counts(
-    start: Callable[..., Stand], tmp_path: Path
+    start_router: Callable[..., RouterHarness], tmp_path: Path
 ) -> None:
     """Accepting fails for a while, as without descriptors; meanwhile one connection gets one request more."""
     flag = tmp_path / "no-buffers"
-    stand = start(faults=[Fault(Call.ACCEPT, "ENOBUFS", flag=str(flag))])
+    router = start_router(faults=[Fault(Call.ACCEPT, "ENOBUFS", flag=str(flag))])
     flag.touch()
     time.sleep(0.1)
-    client, sent = stand.client(), {}
+    client, sent = router.connect(), {}
     for ident in (1, 2, 3):
-        client.send(ident, X_TXN=f"{ident:016x}", X_TTL_MS="3000")
+        client.send_request(ident, X_TXN=f"{ident:016x}", X_TTL_MS="3000")
         sent[f"{ident:016x}"] = time.monotonic()
         time.sleep(0.2)
     flag.unlink()
-    found = fetches(stand, 3)
+    found = fetches(router, 3)
     assert len(found) == 3
     for fetch in found:
-        left = 3000 - (time.monotonic() - sent[fetch.txn]) * 1000
+        left = 3000 - (time.monotonic() - sent[fetch.request_id]) * 1000
         assert int(fetch.fields["limit"]) <= left + EXCESS
 
 
-def test_a_request_whose_time_was_over_unread_is_refused_and_not_sent(start: Callable[..., Stand]) -> None:
-    stand = start()
-    client = stand.client()
-    assert client.ask(path="/status/live").status == 200
-    with stopped(stand):
-        client.send(X_TTL_MS="300")
+def test_a_request_whose_time_was_over_unread_is_refused_and_not_sent(
+    start_router: Callable[..., RouterHarness],
+) -> None:
+    router = start_router()
+    client = router.connect()
+    assert client.request(path="/status/live").status == 200
+    with paused(router):
+        client.send_request(X_TTL_MS="300")
         time.sleep(UNREAD)
-    assert client.answer().status == 503
-    assert fetches(stand, 1) == []
+    assert client.read_response().status == 503
+    assert fetches(router, 1) == []
