--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from router_harness import RouterHarness
+from router_harness import SETTINGS, RouterHarness
 
 from stonecove.choice import Director
 from stonecove.interface import (
@@ -163,6 +163,25 @@
     assert not unexpected
 
 
+@pytest.fixture
+def router() -> Iterator[RouterHarness]:
+    """A router with the default settings; it may neither end nor log a bug during the test."""
+    running = RouterHarness()
+    yield running
+    assert running.process.poll() is None, "the router died"
+    assert not running.log_lines("bug")
+    running.close()
+
+
+@pytest.fixture
+def keyed_router() -> Iterator[RouterHarness]:
+    """A router whose class `confirm` is idempotent with an idempotency key."""
+    changes = {"confirm": {"effect": "token", "group": "all", "window": 5000.0}}
+    running = RouterHarness(classes=[{**cls, **changes.get(cls["name"], {})} for cls in SETTINGS["classes"]])
+    yield running
+    running.close()
+
+
 @pytest.fixture
 def policy() -> PolicyHarness:
     """A routing policy with the default settings and endpoints."""
--- /dev/null
+++ b/tests/test_admission.py
@@ -0,0 +1,99 @@
+"""Admission control: limits on connections, requests, memory, descriptors and CPU."""
+
+from __future__ import annotations
+
+import pytest
+from router_harness import SETTINGS, RouterHarness
+from socket_requests import is_rejection
+
+from stonecove.memory.budget import Budget
+from stonecove.memory.requests import OpenRequests
+from stonecove.settings import settings_from
+from stonecove.stages.admit import Admit
+
+
+def test_idle_clients_make_room_and_busy_ones_stay() -> None:
+    """Guards against connections that are merely held keeping out those that ask."""
+    router = RouterHarness(sockets=16)  # of which clients get 8
+    busy, halfway = router.connect(), router.connect()
+    busy.send_request()
+    fetch = router.next_command()
+    halfway.sock.sendall(halfway.encode_request()[:40])
+    held = [router.connect() for _ in range(6)]
+    for client in held[:3]:
+        assert (
+            client.request(path="/status/live").status == 200
+        )  # and it stays; the others never say anything
+    for _ in range(8):
+        late = router.connect()
+        assert late.request(path="/status/live").status == 200
+    halfway.sock.sendall(halfway.encode_request()[40:])
+    router.next_command().reply(body=b"halfway")
+    assert halfway.read_response().body == b"halfway"
+    fetch.reply(body=b"busy")
+    assert busy.read_response().body == b"busy" and held[-1].is_closed()
+    router.close()
+
+
+def test_no_room_for_a_request_is_a_refusal() -> None:
+    router = RouterHarness(limits={**SETTINGS["limits"], "most_held": 1})
+    client = router.connect()
+    client.send_request(1)
+    fetch = router.next_command()
+    client.send_request(2)
+    response = client.read_response()
+    assert response.request_id == 2 and is_rejection(response)
+    fetch.reply()
+    assert client.read_response()[:2] == (1, 200)
+    router.close()
+
+
+def test_no_memory_for_a_request_is_a_refusal_and_what_is_held_is_given_back() -> None:
+    router = RouterHarness(memory_mb=0.1)  # a quarter of it is 25,000 bytes
+    client = router.connect()
+    for _ in range(5):
+        response = client.request(body=bytes(30_000))
+        assert (response.status, response.protocol_status) == (0, 2)
+        assert is_rejection(client.request(X_WORKING_SET_KB="100"))
+        client.send_request(body=bytes(2000))
+        router.next_command().reply(body=bytes(20_000))
+        assert client.read_response().status == 200
+    router.close()
+
+
+def test_running_out_of_descriptors_ends_nothing() -> None:
+    router = RouterHarness(descriptors=24)
+    clients = [router.connect() for _ in range(60)]
+    router.wait_until(lambda: router.log_lines("no-descriptors"), "a line of the log")
+    for client in clients:
+        client.sock.close()
+        client._stream.close()
+    client = router.connect()
+    client.send_request()
+    router.next_command().reply()
+    assert client.read_response().status == 200
+    router.close()
+
+
+def test_over_our_share_of_a_core_only_who_has_waited_is_refused() -> None:
+    """Guards against refusals that feed themselves, and against being stopped; a new share holds at once."""
+    settings = settings_from({"zone": 0, "classes": [{"deadline": 5000.0, "on_time": 900.0}]})
+    admit = Admit(settings, OpenRequests(), Budget(), 0.0, 1)
+    admit.cpu.share(1e-9)
+    assert admit.cpu.left() < 0
+    assert [admit.too_much(1000.0 + waited, 1000.0, 0) for waited in (0.0, 20.0, 30.0, 400.0)] == [
+        "",
+        "",
+        "cpu",
+        "waited",
+    ]
+    admit.cpu.share(1.0)
+    assert admit.too_much(1030.0, 1000.0, 0) == ""
+
+
+@pytest.mark.parametrize("waited, refused", [(10.0, []), (50.0, [0]), (100.0, [0, 1]), (9000.0, [0, 1, 2])])
+def test_what_has_waited_too_long_is_refused_by_its_worth(waited: float, refused: list[int]) -> None:
+    classes = [{"deadline": 5000.0, "on_time": 200.0, "importance": worth} for worth in (1.0, 2.0, 4.5)]
+    settings = settings_from({"zone": 0, "classes": classes})
+    admit = Admit(settings, OpenRequests(), Budget(), 0.0, 1)
+    assert [kind for kind in range(3) if admit.too_much(1000.0 + waited, 1000.0, kind)] == refused
--- /dev/null
+++ b/tests/test_configuration.py
@@ -0,0 +1,124 @@
+"""The configuration file at startup and at a reload."""
+
+from __future__ import annotations
+
+import json
+import struct
+import subprocess
+import sys
+from pathlib import Path
+from typing import Any
+
+import pytest
+from fake_change_log import FakeChangeLog
+from router_harness import SETTINGS, RouterHarness
+from socket_requests import is_rejection, request_objects
+from waiting import TEST_TIMEOUT
+
+
+def test_sighup_moves_the_change_log_while_requests_go_on(router: RouterHarness) -> None:
+    client, new = router.connect(), FakeChangeLog()
+    client.send_request()
+    fetch = router.next_command()
+    assert router.change_log.resumed_from.get(timeout=TEST_TIMEOUT) == 1
+    router.change_log.send_event(2, 4, struct.pack(">HQ", 40, 1))
+    router.change_log.send_event(3, 0)  # and then it stays open and silent
+    changed = {**router.config, "changelog": f"127.0.0.1:{new.listener.port}"}
+    router.reload(json.dumps(changed))
+    assert new.resumed_from.get(timeout=TEST_TIMEOUT) == 2
+    new.send_event(3, 2, router.endpoint_record(router.caches[0], 1))
+    router.wait_until(lambda: len(router.log_lines("node")) == 5, "the next event")
+    fetch.reply(body=b"went on")
+    assert client.read_response().body == b"went on"
+    assert "waits_for_restart=nothing" in router.log_lines("reloaded")[0]
+    new.listener.close()
+
+
+@pytest.mark.parametrize(
+    "text",
+    [
+        "",
+        "{",
+        "[]",
+        "{}",
+        '{"limits": {"sockets": 0}}',
+        '{"limits": {"memory_mb": -1}}',
+        '{"limits": {"sockets": 1e999}}',
+        '{"changelog": "nowhere"}',
+        '{"known": {"results": [{"fleet": 7}]}}',
+        '{"settings": {}}',
+    ],
+)
+def test_a_bad_new_configuration_is_one_line_and_the_old_one_stays(router: RouterHarness, text: str) -> None:
+    assert router.change_log.resumed_from.get(timeout=TEST_TIMEOUT) == 1
+    changes = json.loads(text) if text.startswith('{"') else None
+    router.reload(text if changes is None else json.dumps({**router.config, **changes}))
+    router.wait_until(lambda: router.log_lines("reload-refused"), "a line of the log")
+    router.change_log.send_event(2, 2, router.endpoint_record(router.caches[0], 1))
+    router.wait_until(lambda: len(router.log_lines("node")) == 5, "an event by the old address")
+    request_objects(router, router.connect(), 2)
+    assert len(router.log_lines("reload-refused")) == 1
+
+
+@pytest.mark.parametrize(
+    "change, part",
+    [
+        ({"name": "n9"}, "name"),
+        ({"listen": "127.0.0.1:1"}, "listen"),
+        ({"settings": {**SETTINGS, "classes": [{**SETTINGS["classes"][0], "name": "reel"}]}}, "classes"),
+        ({"settings": {**SETTINGS, "zone": 0}}, "zone"),
+    ],
+)
+def test_another_routers_file_is_refused_whole(
+    router: RouterHarness, change: dict[str, Any], part: str
+) -> None:
+    """Neither its limits nor its change log may turn up here."""
+    assert router.change_log.resumed_from.get(timeout=TEST_TIMEOUT) == 1
+    new, limits = FakeChangeLog(), {**router.config["limits"], "memory_mb": 0.001}
+    router.reload(
+        json.dumps(
+            {**router.config, "limits": limits, "changelog": f"127.0.0.1:{new.listener.port}", **change}
+        )
+    )
+    router.wait_until(lambda: router.log_lines("reload-refused"), "a line of the log")
+    assert f"by its {part}" in router.log_lines("reload-refused")[0] and not router.log_lines("reloaded")
+    router.change_log.send_event(2, 2, router.endpoint_record(router.caches[0], 1))
+    router.wait_until(lambda: len(router.log_lines("node")) == 5, "an event by the old address")
+    request_objects(router, router.connect(), 2)
+    assert new.resumed_from.empty()
+    new.listener.close()
+
+
+def test_a_new_limit_holds_at_once(router: RouterHarness) -> None:
+    limits = {"limits": {**router.config["limits"], "memory_mb": 0.001}}
+    router.reload(json.dumps({**router.config, **limits}))
+    router.wait_until(lambda: router.log_lines("reloaded"), "the new configuration")
+    assert is_rejection(router.connect().request(X_WORKING_SET_KB="100"))
+
+
+@pytest.mark.parametrize(
+    "text",
+    [
+        None,
+        "{",
+        "[]",
+        "{}",
+        '{"settings":{"zone":0,"classes":[{}]}}',
+        '{"settings":{"zone":0,"classes":[{"deadline":1}]},"listen":"nowhere","changelog":"127.0.0.1:1"}',
+        '{"settings":{"zone":0,"classes":[{"deadline":1}]},"listen":"127.0.0.1:0","changelog":"127.0.0.1:1",'
+        '"known":{"results":[{"fleet":{"instances":[{"instanceId":"x"}]}}]}}',
+        '{"settings":{"zone":0,"classes":[{"deadline":1}]},"listen":"255.1.1.1:1","changelog":"127.0.0.1:1"}',
+    ],
+)
+def test_a_bad_configuration_is_one_clear_line(tmp_path: Path, text: str | None) -> None:
+    path = tmp_path / "config.json"
+    if text is not None:
+        path.write_text(text)
+    done = subprocess.run(
+        [sys.executable, "-m", "stonecove"],
+        env={"RELAY_CONFIG": str(path)},
+        capture_output=True,
+        text=True,
+        timeout=TEST_TIMEOUT,
+    )
+    assert done.returncode == 2 and done.stderr.startswith("stonecove: ") and done.stderr.count("\n") == 1
--- /dev/null
+++ b/tests/test_endpoint_updates.py
@@ -0,0 +1,174 @@
+"""Events of the change log: endpoints that drain, move, restart or leave, and a log that breaks."""
+
+from __future__ import annotations
+
+import contextlib
+import struct
+import time
+
+import pytest
+from fake_cache import FakeCache
+from router_harness import RouterHarness
+from socket_requests import request_objects
+from tcp_endpoints import UnresponsiveAddress
+from waiting import TEST_TIMEOUT
+
+
+def test_links_to_a_node_that_left_the_list_are_given_up(router: RouterHarness) -> None:
+    """Nobody there answers any more: what is out ends at once, and nothing is kept for the node."""
+    client = router.connect()
+    client.send_request()
+    fetch = router.next_command()
+    others = [cache for cache in router.caches if cache is not fetch.cache]
+    router.change_log.send_event(2, 1, b"".join(router.endpoint_record(cache, 0) for cache in others))
+    again = router.next_command()
+    assert again.cache in others
+    again.reply(body=b"elsewhere")
+    assert client.read_response().body == b"elsewhere" and fetch.sock.recv(1) == b""
+
+
+@pytest.mark.parametrize("state", [1, 2])
+def test_nothing_new_goes_to_a_cache_that_drains_or_is_gone(router: RouterHarness, state: int) -> None:
+    client, (leaving, staying) = router.connect(), router.caches
+    assert {fetch.cache for fetch in request_objects(router, client)} == {leaving, staying}
+    router.change_log.send_event(2, 2, router.endpoint_record(leaving, state))
+    router.wait_until(lambda: len(router.log_lines("node")) == 5, "the change")
+    assert {fetch.cache for fetch in request_objects(router, client)} == {staying}
+
+
+def test_a_source_that_drains_is_named_no_more(router: RouterHarness) -> None:
+    client = router.connect()
+    assert request_objects(router, client, 1)[0].fields["from"] == "s-00000020"
+    parent = struct.pack(">IIHBBBHIQ", 0x20, 0x7F000001, 1, 1, 0, 1, 0, 9_000_000, 0)
+    router.change_log.send_event(2, 2, parent)
+    router.wait_until(lambda: len(router.log_lines("node")) == 5, "the change")
+    assert request_objects(router, client, 1)[0].fields["from"] == "s-00000030"
+
+
+def test_a_new_cache_at_an_old_address_is_another_cache(router: RouterHarness) -> None:
+    """Guards against naming a home by its address, and against using a connection to the old one."""
+    client, (old, _) = router.connect(), router.caches
+    request_objects(router, client)
+    assert old.listener.accepted
+    new = struct.pack(">IIHBBBHIQ", 0x99, 0x7F000001, old.listener.port, 0, 1, 0, 0, 9_000_000, 0)
+    before = len(old.listener.accepted)
+    router.change_log.send_event(2, 2, router.endpoint_record(old, 2) + new)
+    router.wait_until(lambda: len(router.log_lines("node")) == 6, "the change")
+    request_objects(router, client)
+    assert len(old.listener.accepted) > before
+
+
+def test_a_cache_that_has_moved_is_asked_at_its_new_address(router: RouterHarness) -> None:
+    client, (old, _) = router.connect(), router.caches
+    assert old in {fetch.cache for fetch in request_objects(router, client)}
+    moved = FakeCache(old.endpoint_id, router.commands)
+    router.change_log.send_event(2, 2, router.endpoint_record(old, 0, port=moved.listener.port))
+    router.wait_until(lambda: len(router.log_lines("node")) == 5, "the change")
+    assert {fetch.cache for fetch in request_objects(router, client)} == {moved, router.caches[1]}
+    moved.listener.close()
+
+
+@pytest.mark.parametrize("since, lost", [(1000, True), (-60_000, False)])
+def test_connections_older_than_the_start_of_their_machine_are_closed(
+    router: RouterHarness, since: int, lost: bool
+) -> None:
+    """Guards against waiting for a process that is gone, and giving up what its successor works on."""
+    client = router.connect()
+    client.send_request()
+    fetch = router.next_command()
+    router.change_log.send_event(
+        2, 2, router.endpoint_record(fetch.cache, 0, int(time.time() * 1000) + since)
+    )
+    router.wait_until(lambda: len(router.log_lines("node")) == 5, "the news")
+    if lost:
+        router.wait_until(lambda: router.log_lines("connection-lost"), "the end of the connection")
+        fetch = router.next_command()
+    fetch.reply(body=b"here")
+    assert client.read_response().body == b"here" and bool(router.log_lines("connection-lost")) is lost
+
+
+@pytest.mark.parametrize("breaks", ["closed", "gap", "unreadable", "silent", "trickling"])
+def test_the_change_log_goes_on_where_it_broke(router: RouterHarness, breaks: str) -> None:
+    assert router.change_log.resumed_from.get(timeout=TEST_TIMEOUT) == 1
+    purge = struct.pack(">HQ", 40, 1)
+    router.change_log.send_event(2, 4, purge)
+    router.change_log.send_event(2, 0)
+    if breaks == "closed":
+        router.change_log.listener.accepted[-1].shutdown(2)
+    elif breaks == "gap":
+        router.change_log.send_event(4, 4, purge)
+    elif breaks == "unreadable":
+        router.change_log.listener.accepted[-1].sendall(struct.pack(">IQB", 2, 3, 0))
+    elif breaks == "trickling":
+        router.change_log.listener.accepted[-1].sendall(struct.pack(">IQB", 500, 3, 2))
+
+        def given_up() -> bool:
+            router.change_log.send_partial_frame_byte()
+            return bool(router.log_lines("changelog-lost"))
+
+        router.wait_until(given_up, "an end of the trickling")
+    assert router.change_log.resumed_from.get(timeout=TEST_TIMEOUT) == 2
+    router.change_log.send_event(3, 2, router.endpoint_record(router.caches[0], 1))
+    router.wait_until(lambda: len(router.log_lines("node")) == 5, "the next event")
+
+
+def test_a_gap_that_stays_is_closed_by_the_whole_list(router: RouterHarness) -> None:
+    """What was in the gap, as a drain or a purge, must not stay unknown."""
+    for _ in range(2):  # the log no longer has event 2
+        assert router.change_log.resumed_from.get(timeout=TEST_TIMEOUT) == 1
+        router.change_log.send_event(3, 4, struct.pack(">HQ", 40, 1))
+    assert router.change_log.resumed_from.get(timeout=TEST_TIMEOUT) == 0
+    nodes = b"".join(
+        router.endpoint_record(cache, state) for cache, state in zip(router.caches, (1, 0), strict=True)
+    )
+    router.change_log.send_event(3, 1, nodes)
+    router.wait_until(lambda: len(router.log_lines("node")) == 6, "the whole list")
+
+
+@pytest.mark.parametrize("news", ["drain", "source", "purge"])
+def test_what_waits_for_a_connection_is_looked_at_again(news: str) -> None:
+    """Guards against sending by a decision that was overtaken while the connection came up."""
+    limits = {"connect_timeout": 28_000.0, "conn_idle": 600_000.0, "most_tries": 8, "cancel": True}
+    router = RouterHarness(limits=limits)  # time for the kernel to try again and again
+    unresponsive, client, (slow, other) = UnresponsiveAddress(), router.connect(), router.caches
+    router.change_log.send_event(
+        2, 2, router.endpoint_record(slow, 0, port=unresponsive.port) + router.endpoint_record(other, 1)
+    )
+    router.wait_until(lambda: len(router.log_lines("node")) == 6, "the first change")
+    client.send_request(X_TTL_MS="30000")
+    client.send_request(2, path="/svc/nothing")
+    assert client.read_response().status == 404  # so the first request has been decided
+    if news == "drain":
+        router.change_log.send_event(
+            3, 2, router.endpoint_record(slow, 1, port=unresponsive.port) + router.endpoint_record(other, 0)
+        )
+        router.next_command().reply(body=b"other")
+        assert client.read_response().body == b"other"
+        with contextlib.suppress(TimeoutError):
+            sock = unresponsive.accept_connection(3.0)
+            sock.settimeout(1.0)
+            assert sock.recv(1) == b""  # it may end the connection, but sends nothing
+    else:
+        parent = struct.pack(">IIHBBBHIQ", 0x20, 0x7F000001, 1, int(news == "source"), 0, 1, 0, 9_000_000, 0)
+        router.change_log.send_event(
+            3, 4, struct.pack(">HQ", 17 + (news == "source"), int(time.time() * 1000))
+        )
+        router.change_log.send_event(4, 2, parent)
+        router.wait_until(lambda: len(router.log_lines("node")) == 7, "the change after the purge")
+        fields = unresponsive.accept_connection().recv(1000)
+        assert (b"oldest=" in fields, b"from=s-00000030" in fields) == (news == "purge", news == "source")
+    unresponsive.close()
+    router.close()
+
+
+def test_odd_news_ends_nothing(router: RouterHarness) -> None:
+    client, odd = router.connect(), struct.pack(">IIHBBBHIQ", 0x77, 0, 0, 9, 200, 200, 65535, 0, 2**64 - 1)
+    for number in range(2, 9):
+        router.change_log.send_event(number, 2, odd + odd)
+    router.change_log.send_event(9, 77, b"?")
+    nodes = b"".join(router.endpoint_record(cache, 0) for cache in router.caches)
+    router.change_log.send_event(
+        10, 1, nodes + struct.pack(">IIHBBBHIQ", 0x30, 0x7F000001, 1, 0, 0, 2, 0, 9_000_000, 0)
+    )
+    router.wait_until(lambda: len(router.log_lines("node")) == 4 + 14 + 3, "the whole list")
+    assert {fetch.fields["from"] for fetch in request_objects(router, client)} == {"s-00000030"}
--- /dev/null
+++ b/tests/test_fastcgi_frontend.py
@@ -0,0 +1,86 @@
+"""The FastCGI side of the router: records, connections and their limits."""
+
+from __future__ import annotations
+
+import struct
+
+import pytest
+from fastcgi_client import fastcgi_record, name_value_pair
+from router_harness import RouterHarness
+
+
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"GET / HTTP/1.1\r\n\r\n",
+        fastcgi_record(1, 1, b"\0"),
+        fastcgi_record(1, 1, struct.pack(">HB5x", 1, 1)) * 2,
+        fastcgi_record(9, 0, b"\x20\x00abc"),
+    ],
+)
+def test_what_is_not_fastcgi_ends_its_connection_alone(router: RouterHarness, data: bytes) -> None:
+    other, client = router.connect(), router.connect()
+    other.send_request()
+    fetch = router.next_command()
+    client.sock.sendall(data)
+    assert client.is_closed()
+    fetch.reply()
+    assert other.read_response().status == 200
+    router.wait_until(lambda: router.log_lines("client-lost"), "a line of the log")
+
+
+@pytest.mark.parametrize(
+    "data, kind, content",
+    [
+        (
+            fastcgi_record(9, 0, name_value_pair("FCGI_MPXS_CONNS", "") + name_value_pair("ELSE", "")),
+            10,
+            name_value_pair("FCGI_MPXS_CONNS", "1"),
+        ),
+        (fastcgi_record(77, 0, b"?"), 11, b"\x4d" + bytes(7)),
+        (fastcgi_record(1, 9, struct.pack(">HB5x", 2, 1)), 3, b"\0\0\0\0\x03\0\0\0"),
+    ],
+)
+def test_management_records(router: RouterHarness, data: bytes, kind: int, content: bytes) -> None:
+    client = router.connect()
+    client.sock.sendall(data)
+    got = client.read_record()
+    assert (got[0], got[2]) == (kind, content)
+
+
+@pytest.mark.parametrize("sent", ["nothing", "half a record", "half a request"])
+def test_what_never_comes_in_whole_is_ended_and_others_are_not(router: RouterHarness, sent: str) -> None:
+    """Guards against clients that hold a connection for nothing."""
+    usual, client = router.connect(), router.connect()
+    usual.send_request()
+    fetch = router.next_command()
+    whole = client.encode_request(7)
+    if sent == "half a record":
+        client.sock.sendall(whole[:10])
+    elif sent == "half a request":
+        client.sock.sendall(whole[:-8])  # all but the end of the body
+        assert client.read_response()[:2] == (7, 408)
+        client.send_request(8)
+        router.next_command().reply(body=b"goes on")
+        assert client.read_response().body == b"goes on"
+    if sent != "half a request":
+        assert client.is_closed()
+    fetch.reply(body=b"usual")
+    assert usual.read_response().body == b"usual"
+
+
+def test_a_connection_that_is_not_to_be_kept_ends_with_its_answer(router: RouterHarness) -> None:
+    client = router.connect()
+    client.sock.sendall(
+        client.encode_request().replace(struct.pack(">HB5x", 1, 1), bytes((0, 1)) + bytes(6), 1)
+    )
+    router.next_command().reply(body=b"x" * 100_000)
+    assert len(client.read_response().body) == 100_000 and client.is_closed()
+
+
+def test_more_requests_than_a_connection_may_hold(router: RouterHarness) -> None:
+    client = router.connect()
+    for ident in range(1, 34):
+        client.send_request(ident)
+    response = client.read_response()
+    assert (response.request_id, response.status, response.protocol_status) == (33, 0, 2)
--- /dev/null
+++ b/tests/test_policy_load.py
@@ -0,0 +1,162 @@
+"""Overload of caches, links, parents and the origin, and the capacity learned of them."""
+
+from __future__ import annotations
+
+import math
+
+import pytest
+from conftest import ORIGIN, PARENTS, PolicyHarness, make_endpoints, make_settings, started_attempts
+
+from stonecove.choice import Load
+from stonecove.interface import Ended, Get, How, Note, Outcome, Refuse
+
+
+def test_a_crowded_cache_is_passed_over_in_hash_order(policy: PolicyHarness) -> None:
+    order = policy.routing_policy._caches.order(1)
+    asked = [started_attempts(policy.request(key=1, size=600.0)) for _ in range(12)]
+    used = [attempt[0].node for attempt in asked if attempt]
+    assert used[0] == order[0] and used[-1] != order[0]
+
+
+def test_what_would_come_too_late_everywhere_is_refused_at_once(policy: PolicyHarness) -> None:
+    answers = [policy.request(key=n, size=600.0)[0] for n in range(200)]
+    assert isinstance(answers[-1], Refuse)
+    assert started_attempts(policy.request(key=900, size=1.0))
+
+
+def test_with_a_crowded_link_the_home_is_only_looked_at() -> None:
+    policy = PolicyHarness(make_settings(weighted=True), [n._replace(weight=100.0) for n in make_endpoints()])
+    asked = [started_attempts(policy.request(key=n, size=400.0))[0] for n in range(150)]
+    assert asked[0].source in PARENTS
+    looks = [attempt for attempt in asked if attempt.source == attempt.node]
+    assert looks and asked[-1] in looks
+    missed = policy.end_attempt(asked[-1], Outcome.MISS)
+    assert isinstance(missed[-1], Refuse) and not started_attempts(missed)
+
+
+def test_a_link_whose_size_is_not_told_is_crowded_only_once_it_feels_slow() -> None:
+    """Its location may fill as many objects at once as come fast enough."""
+    settings = make_settings(weighted=True, zone_link=(0.0, 0.0, 0.0))
+    policy = PolicyHarness(settings, [n._replace(weight=500.0) for n in make_endpoints()])
+    out = [started_attempts(policy.request(key=key, size=400.0))[0] for key in range(12)]
+    assert all(attempt.source in PARENTS for attempt in out)
+    policy.routing_policy._link.felt(policy.now, 4000.0, 400.0)
+    look = started_attempts(policy.request(key=99, size=400.0))[0]
+    assert look.source == look.node
+
+
+def test_slow_answers_from_one_cache_send_large_objects_on(policy: PolicyHarness) -> None:
+    """Others crowd the cache: this director has hardly any work there itself."""
+    order = policy.routing_policy._caches.order(1)
+    for _ in range(4):
+        attempt = started_attempts(policy.request(key=1))[0]
+        assert attempt.node == order[0]
+        policy.end_attempt(attempt, wait=500.0, note=Note.HIT)
+    assert started_attempts(policy.request(key=1, size=600.0))[0].node == order[1]
+    assert started_attempts(policy.request(key=1, size=1.0))[0].node == order[0]
+    assert started_attempts(policy.request(key=1, size=600.0, wait=5000.0))[0].node == order[0]
+
+
+def test_a_share_of_a_link_has_room_for_chance_until_it_is_felt() -> None:
+    alone, one_of_many = Load.of(20.0, 1.0, 100.0), Load.of(20.0, 0.05, 100.0)
+    assert alone.room == 0.0 and alone.carries == 20.0
+    one_of_many.out = 1
+    assert one_of_many.pace(0.0) == 1.0
+    one_of_many.felt(0.0, 3000.0, 1000.0)
+    assert one_of_many.pace(0.0) >= 2.5
+    assert one_of_many.pace(9000.0) < 1.01
+
+
+def test_a_pressed_origin_is_spared_for_some_and_asked_again_later(policy: PolicyHarness) -> None:
+    for key in range(12):
+        attempt: Get | None = started_attempts(policy.request(key=key, size=1.0))[0]
+        while attempt:
+            number = len(policy.routing_policy._held[attempt.req].attempts) - 1
+            more = started_attempts(
+                policy.end_attempt(attempt, Outcome.FULL, note=Note.ORIGIN_FAILED, attempt_index=number)
+            )
+            attempt = more[0] if more else None
+    asked = [started_attempts(policy.request(key=key, size=1.0))[0] for key in range(100, 160)]
+    spared = [attempt for attempt in asked if attempt.how & How.HELD_ONLY]
+    assert len(spared) > 40
+    ended = policy.end_attempt(spared[-1], Outcome.MISS, note=Note.SOURCE_LACKS)
+    assert isinstance(ended[-1], Refuse) and not started_attempts(ended)
+    later = [started_attempts(policy.request(key=key, size=1.0, wait=2000.0))[0] for key in range(200, 220)]
+    assert not any(attempt.how & How.HELD_ONLY for attempt in later[8:])
+
+
+def test_slow_fills_at_one_cache_are_blamed_on_it_and_not_on_the_link() -> None:
+    policy = PolicyHarness(make_settings(weighted=True), [n._replace(weight=100.0) for n in make_endpoints()])
+    slow = policy.routing_policy._caches.order(1)[0]
+    for key in range(60):
+        attempt = started_attempts(policy.request(key=key, size=100.0))[0]
+        policy.end_attempt(attempt, wait=1500.0 if attempt.node == slow else 100.0, note=Note.FILLED)
+    assert policy.routing_policy._link.slowed(policy.now) < 2.0
+    assert started_attempts(policy.request(key=1, size=600.0))[0].source in PARENTS
+
+
+def test_the_crowd_mark_is_lower_beside_many_directors() -> None:
+    """What others add while an answer is under way is not seen."""
+    alone = PolicyHarness(make_settings(zone_directors=(0, 1, 1)))
+    beside = PolicyHarness(make_settings(zone_directors=(0, 40, 1), fleet=41))
+    kept = []
+    for policy in (alone, beside):
+        for _ in range(2):
+            attempt = started_attempts(policy.request(key=1, size=100.0))[0]
+            policy.end_attempt(attempt, wait=215.0, note=Note.HIT)
+        kept.append(started_attempts(policy.request(key=1, size=1500.0))[0].node == attempt.node)
+    assert kept == [True, False]
+
+
+def test_what_a_link_of_untold_size_carries_is_learned_from_slow_fills() -> None:
+    """It bears as many fills as came at full pace, also when nothing was felt for a while."""
+    link = Load.of(0.0, 1.0, 100.0)
+    link.learn(1, 3.0)
+    assert link.carries == math.inf  # one alone tells of no crowd
+    link.learn(30, 1.0)
+    assert link.carries == math.inf
+    for _ in range(40):
+        link.learn(30, 3.0)
+    assert link.carries == pytest.approx(10.0)
+    settings = make_settings(weighted=True, zone_link=(0.0, 0.0, 0.0))
+    policy = PolicyHarness(settings, [n._replace(weight=500.0) for n in make_endpoints()])
+    for key in range(1, 41):
+        policy.request(key=key, size=400.0)
+    for key in range(1, 41):
+        node, took = policy.routing_policy._held[key].attempts[0].node, 1200.0
+        policy.handle(Ended(key, 0, node, Outcome.OK, took, True, Note.FILLED, 0.0, ()))
+    policy.now += 60_000.0
+    assert policy.routing_policy._link.slowed(policy.now) < 1.1
+    out = [started_attempts(policy.request(key=key, size=400.0))[0] for key in range(100, 160)]
+    assert out[0].source in PARENTS and out[-1].source == out[-1].node
+
+
+def test_caches_of_untold_size_are_not_thought_crowded_by_a_router_that_starts() -> None:
+    policy = PolicyHarness(make_settings(zone_link=(0.0, 0.0, 0.0)))
+    out = [started_attempts(policy.request(key=key, size=400.0)) for key in range(30)]
+    assert all(out)
+    for gotten in out:
+        policy.handle(Ended(gotten[0].req, 0, gotten[0].node, Outcome.OK, 900.0, True, Note.HIT, 0.0, ()))
+    learned = policy.routing_policy._load(out[-1][0].node).carries
+    assert 1.0 <= learned < math.inf
+
+
+def test_a_parent_whose_size_is_not_told_stays_the_source_until_it_feels_slow() -> None:
+    """Its objects meet there, whatever number of them is out at once."""
+    nodes = [n._replace(weight=0.0 if n.kind == 1 else 500.0) for n in make_endpoints()]
+    policy = PolicyHarness(make_settings(weighted=True, zone_link=(0.0, 0.0, 0.0)), nodes)
+    for key in range(40):
+        attempt = started_attempts(policy.request(key=key, size=400.0))[0]
+        assert attempt.source == policy.routing_policy._parents.order(key)[0]
+    policy.routing_policy._load(attempt.source).felt(policy.now, 90_000.0, 1000.0)
+    assert started_attempts(policy.request(key=39, size=400.0))[0].source != attempt.source
+
+
+def test_fills_from_a_crowded_parent_go_on_to_the_next_source() -> None:
+    nodes = [n._replace(weight=4.0 if n.kind == 1 else 200.0) for n in make_endpoints()]
+    policy = PolicyHarness(make_settings(weighted=True, zone_link=(0.0, 900_000.0, 0.0)), nodes)
+    sources = [
+        attempt.source for n in range(60) for attempt in started_attempts(policy.request(key=n, size=500.0))
+    ]
+    assert set(sources[:4]) <= set(PARENTS)
+    assert set(sources[-20:]) == {ORIGIN}
--- /dev/null
+++ b/tests/test_policy_placement.py
@@ -0,0 +1,90 @@
+"""Which cache and which source a request goes to: rendezvous hashing, spreading and freshness."""
+
+from __future__ import annotations
+
+from collections import Counter
+
+from conftest import (
+    CACHES,
+    ORIGIN,
+    PARENTS,
+    PolicyHarness,
+    make_class,
+    make_endpoints,
+    make_settings,
+    started_attempts,
+)
+
+from stonecove.choice import Ring
+from stonecove.interface import Listed, ListKind, Node, NodeState, Note, Outcome
+
+
+def nodes(count: int, weight: float = 1.0) -> list[Node]:
+    return [Node(n + 1, 0, 0.0, NodeState.READY, 0, 1, weight) for n in range(count)]
+
+
+def test_shares_follow_the_weights() -> None:
+    listed = [*nodes(3), Node(9, 0, 0.0, NodeState.READY, 0, 1, 3.0)]
+    homes = Counter(Ring(listed, True).order(key)[0] for key in range(6000))
+    assert abs(homes[9] / 6000 - 0.5) < 0.03
+    flat = Counter(Ring(listed, False).order(key)[0] for key in range(6000))
+    assert abs(flat[9] / 6000 - 0.25) < 0.03
+
+
+def test_a_node_that_goes_moves_only_its_own_objects() -> None:
+    before, after = Ring(nodes(8), True), Ring(nodes(7), True)
+    for key in range(500):
+        home = before.order(key)[0]
+        assert home == 8 or after.order(key)[0] == home
+
+
+def test_all_directors_share_home_and_parent() -> None:
+    one, two = PolicyHarness(), PolicyHarness(make_settings(zone=2))
+    two.handle(Listed(ListKind.FULL, tuple(n._replace(zone=2) if n.kind == 0 else n for n in two.endpoints)))
+    for key in range(50):
+        for part in (0, 3):
+            first, other = (started_attempts(policy.request(key=key, part=part))[0] for policy in (one, two))
+            assert (first.node, first.source) == (other.node, other.source)
+            assert first.source in PARENTS
+
+
+def test_the_parts_of_one_object_spread_over_the_caches_but_share_the_parent(policy: PolicyHarness) -> None:
+    used = [started_attempts(policy.request(key=77, part=part, size=1.0))[0] for part in range(24)]
+    assert {attempt.node for attempt in used} == set(CACHES)
+    assert len({attempt.source for attempt in used}) == 1
+
+
+def test_without_parents_fills_come_from_the_origin() -> None:
+    policy = PolicyHarness(nodes=[n for n in make_endpoints() if n.kind != 1])
+    assert started_attempts(policy.request())[0].source == ORIGIN
+
+
+def test_a_hot_object_is_spread_and_a_rare_one_is_not(policy: PolicyHarness) -> None:
+    used: dict[int, set[int]] = {1: set(), 2: set()}
+    for n in range(600):
+        key = 2 if n % 50 == 0 else 1 if n % 2 else 1000 + n % 90
+        attempt = started_attempts(policy.request(key=key, size=10.0))[0]
+        used.get(key, set()).add(attempt.node)
+        if n % 4 == 3:
+            policy.end_attempt(attempt)
+    assert len(used[1]) > 1 and len(used[2]) == 1
+
+
+def test_a_hot_film_is_spread_by_its_parts_and_no_part_twice(policy: PolicyHarness) -> None:
+    used: dict[int, set[int]] = {}
+    out = started_attempts(policy.request(key=7, size=10.0))[0]
+    for n in range(900):
+        key, part = (7, n % 12) if n % 3 else (1000 + n, 0)
+        attempt = started_attempts(policy.request(key=key, part=part, size=10.0))[0]
+        if key == 7:
+            used.setdefault(part, set()).add(attempt.node)
+        policy.end_attempt(out, note=Note.HIT, wait=10.0)
+        out = attempt
+    assert all(len(caches) == 1 for caches in used.values())
+
+
+def test_an_ageing_copy_is_renewed_behind_and_an_old_one_serves_only_a_repeat() -> None:
+    policy = PolicyHarness(make_settings(make_class(fresh=1000.0, stale=3000.0)))
+    attempt = started_attempts(policy.request())[0]
+    assert attempt.age == 1000.0 and attempt.how & 8
+    assert started_attempts(policy.end_attempt(attempt, Outcome.RESET))[0].age == 4000.0
--- /dev/null
+++ b/tests/test_policy_popularity.py
@@ -0,0 +1,71 @@
+"""The popularity of objects, which decides what is cached and at which rank."""
+
+from __future__ import annotations
+
+from conftest import make_settings
+
+from stonecove.choice import FRESH_FOR, HALF_LIFE, TABLE_MOST, Director, Popularity
+from stonecove.interface import Request
+
+
+def busy_day(popularity: Popularity, requests: int = 3000, once: int = 7) -> None:
+    """Objects asked for ever less often, and every so often one that is asked for just once."""
+    for n in range(requests):
+        if n % once == 0:
+            popularity.note(n * 10.0, 100_000 + n, 100.0, 0)
+        else:
+            popularity.note(n * 10.0, (n * n) % (n % 97 + 1), 100.0, 0)
+
+
+def test_the_top_set_is_kept_and_the_rest_passes() -> None:
+    popularity = Popularity(40_000.0)
+    busy_day(popularity)
+    assert popularity.rank(0) > 0
+    assert popularity.rank(100_000) == 0
+    assert popularity.rank(123_456_789) == 0
+
+
+def test_a_fresh_director_keeps_everything_at_the_lowest_rank() -> None:
+    popularity = Popularity(40_000.0)
+    busy_day(popularity, FRESH_FOR - 1)
+    assert popularity.rank(0) == popularity.rank(123_456_789) == 1
+
+
+def test_dense_objects_rank_higher() -> None:
+    popularity = Popularity(1e9)
+    for n in range(3000):
+        popularity.note(float(n), n % 30, 10.0 if n % 30 < 10 else 100.0 if n % 30 < 20 else 1000.0, 0)
+    assert [popularity.rank(key) for key in (5, 15, 25)] == [3, 2, 1]
+
+
+def test_counts_age_with_time() -> None:
+    popularity = Popularity(1000.0)
+    for n in range(400):
+        popularity.note(float(n), 1, 100.0, 0)
+    for n in range(400):
+        popularity.note(40_000.0 + n, 2 + n % 10, 100.0, 0)
+    assert popularity.rank(1) == 0 and popularity.rank(11) > 0
+
+
+def test_the_table_is_bounded_and_evicted_requests_still_count() -> None:
+    popularity = Popularity(1e9)
+    for n in range(TABLE_MOST + 5000):
+        popularity.note(0.0, n, 1.0, 0)
+    assert len(popularity._table) <= TABLE_MOST
+    assert popularity._total == TABLE_MOST + 5000
+
+
+def test_ties_are_settled_the_same_way_everywhere() -> None:
+    ranks = []
+    for order in (range(300), reversed(range(300))):
+        popularity = Popularity(1e12)
+        for key in order:
+            popularity.note(0.0, key, 100.0, 0)
+        ranks.append([popularity.rank(key) for key in range(300)])
+    assert ranks[0] == ranks[1]
+
+
+def test_half_life_is_a_multiple_of_the_warm_up() -> None:
+    routing_policy = Director(make_settings(warm_up=20_000.0), 1)
+    assert routing_policy._popularity._half_life == HALF_LIFE * 20_000.0
+    assert Request(1, 0, 1, 1.0, 1.0, 0, 0).part == 0
--- /dev/null
+++ b/tests/test_policy_retries.py
@@ -0,0 +1,49 @@
+"""Retries and hedged requests of the routing policy."""
+
+from __future__ import annotations
+
+from conftest import ORIGIN, PolicyHarness, started_attempts
+
+from stonecove.interface import Due, Note, Outcome
+
+
+def test_a_lost_answer_is_looked_for_where_it_was_sent(policy: PolicyHarness) -> None:
+    lost, other = started_attempts(policy.request(key=1))[0], started_attempts(policy.request(key=1))[0]
+    policy.end_attempt(other, note=Note.HIT, wait=100.0)
+    again = started_attempts(policy.handle(Due(lost.req), 500.0))
+    assert [attempt.node for attempt in again] == [lost.node] and again[0].source == lost.node
+    assert policy.end_attempt(again[0], Outcome.MISS, attempt_index=1) == []  # the first may still come
+
+
+def test_a_crowd_gets_no_second_copies(policy: PolicyHarness) -> None:
+    stuck = started_attempts(policy.request(key=1))[0]
+    for _ in range(8):
+        policy.end_attempt(started_attempts(policy.request(key=1))[0], note=Note.HIT, wait=300.0)
+    assert started_attempts(policy.handle(Due(stuck.req))) == []
+
+
+def test_a_failed_source_is_not_used_again_for_the_request(policy: PolicyHarness) -> None:
+    attempt = started_attempts(policy.request())[0]
+    again = started_attempts(policy.end_attempt(attempt, Outcome.ERROR, note=Note.SOURCE_BROKE))[0]
+    assert again.source != attempt.source
+    last = started_attempts(
+        policy.end_attempt(again, Outcome.ERROR, note=Note.SOURCE_BROKE, attempt_index=1)
+    )[0]
+    assert last.source == ORIGIN
+
+
+def test_retries_are_bounded(policy: PolicyHarness) -> None:
+    sent = 0
+    for n in range(300):
+        attempt = started_attempts(policy.request(key=n))
+        while attempt:
+            sent += 1
+            attempt = started_attempts(
+                policy.end_attempt(
+                    attempt[0],
+                    Outcome.ERROR,
+                    wait=0.1,
+                    attempt_index=len(policy.routing_policy._held[attempt[0].req].attempts) - 1,
+                )
+            )
+    assert sent < 300 * 1.25
--- /dev/null
+++ b/tests/test_policy_robustness.py
@@ -0,0 +1,133 @@
+"""Malformed input, determinism and bounded memory of the routing policy."""
+
+from __future__ import annotations
+
+import subprocess
+import sys
+from collections.abc import Collection
+
+import pytest
+from conftest import CACHES, ORIGIN, PARENTS, PolicyHarness, make_endpoints, make_settings, started_attempts
+
+from stonecove.choice import Director
+from stonecove.interface import Due, Ended, Listed, ListKind, Node, NodeState, Outcome, Refuse
+
+
+def test_odd_requests_are_answered(policy: PolicyHarness) -> None:
+    assert policy.request(kind=9) == [Refuse(1, 0.0, "class")]
+    assert len(policy.request(grace=0.0)) == 1
+    assert started_attempts(policy.request(size=0.0)) and started_attempts(policy.request(part=-1, group=-4))
+
+
+def test_odd_events_are_passed_over(policy: PolicyHarness) -> None:
+    assert policy.handle(Ended(99, 0, 1, Outcome.OK, 1.0, True, 0, 0.0, ())) == []
+    attempt = started_attempts(policy.request())[0]
+    assert policy.end_attempt(attempt, attempt_index=7) == []
+    assert policy.end_attempt(attempt, note=77) == []
+    assert policy.end_attempt(attempt) == []
+    assert policy.handle(Due(12345)) == []
+
+
+def test_odd_lists_are_borne() -> None:
+    policy = PolicyHarness(nodes=[])
+    assert isinstance(policy.request()[0], Refuse)
+    entries = make_endpoints()
+    strange = [Node(77, 9, -5.0, NodeState.READY, 9, 9, 0.0), Node(78, 1, 0.0, NodeState.READY, 0, 0, 0.0)]
+    policy.handle(Listed(ListKind.FULL, (*entries, *entries, *strange)))
+    assert started_attempts(policy.request())[0].node in CACHES
+
+
+def test_a_fleet_of_one_with_no_figures_still_works() -> None:
+    settings = make_settings(
+        fleet=0,
+        zone_directors=(),
+        zone_link=(),
+        client_pace=0.0,
+        warm_up=0.0,
+        fall_window=0.0,
+        connect_timeout=0.0,
+    )
+    policy = PolicyHarness(settings)
+    assert started_attempts(policy.request())
+
+
+def test_missing_classes_are_named() -> None:
+    with pytest.raises(ValueError, match="classes"):
+        Director(
+            make_settings().__class__(
+                **{**{f: getattr(make_settings(), f) for f in make_settings().__slots__}, "classes": ()}
+            ),
+            1,
+        )
+
+
+SCRIPT = """
+import sys
+sys.path.insert(0, "tests")
+from conftest import PolicyHarness, started_attempts, make_settings
+from stonecove.interface import Due, Outcome, Purged
+def play(policies):
+    lines = [[] for _ in policies]
+    for n in range(500):
+        for place, policy in enumerate(policies):
+            acts = policy.request(key=n * n % 61, wait=float(n % 7), size=float(n % 400))
+            if n % 3 == 0 and started_attempts(acts):
+                outcome = Outcome.RESET if n % 9 == 0 else Outcome.OK
+                acts += policy.end_attempt(started_attempts(acts)[0], outcome)
+            if n % 50 == 0:
+                acts += policy.handle(Purged(5.0, n % 4, 0))
+            acts += policy.handle(Due(max(1, policy.last_request_id - 20)), 3.0)
+            lines[place].append(repr(acts))
+    return lines
+print(play([PolicyHarness()])[0] == play([PolicyHarness(), PolicyHarness(make_settings(joins=False))])[0])
+print(play([PolicyHarness()])[0])
+"""
+
+
+def test_the_same_events_give_the_same_actions() -> None:
+    outputs = set()
+    for seed in ("0", "1", "77"):
+        done = subprocess.run(
+            [sys.executable, "-c", SCRIPT],
+            capture_output=True,
+            text=True,
+            check=True,
+            env={"PYTHONHASHSEED": seed, "PYTHONPATH": "."},
+        )
+        outputs.add(done.stdout)
+    assert len(outputs) == 1 and outputs.pop().startswith("True")
+
+
+def test_nothing_is_kept_of_nodes_that_left(policy: PolicyHarness) -> None:
+    """Guards against memory that grows with every cache that ever was, and counts that end on a wrong one."""
+    routing_policy = policy.routing_policy
+    for node in range(1000, 1100):
+        fresh = Node(node, 0, 0.0, NodeState.READY, 0, 1, 1.0)
+        policy.handle(Listed(ListKind.DELTA, (fresh,)))
+        mine = [
+            attempt
+            for key in range(40)
+            for attempt in started_attempts(policy.request(key=key + 100 * node))
+            if attempt.node == node
+        ]
+        assert mine
+        policy.end_attempt(mine[0], Outcome.CONNECT_FAILED)
+        policy.handle(Listed(ListKind.DELTA, (fresh._replace(state=NodeState.GONE),)))
+        for attempt in mine[1:]:
+            policy.end_attempt(attempt, Outcome.RESET)
+    policy.update_endpoint(CACHES[0])  # late ends may leave a trace, until the next news
+    tables: list[Collection[int]] = [
+        routing_policy._loads,
+        routing_policy._cache_health,
+        routing_policy._source_health,
+        routing_policy._cold_caches.sent,
+    ]
+    assert all(set(table) <= {*CACHES, *PARENTS, ORIGIN} for table in tables)
+    assert min(load.out for load in routing_policy._loads.values()) >= 0
+
+
+def test_copies_that_are_too_old_are_forgotten(policy: PolicyHarness) -> None:
+    for key in range(2000):
+        policy.end_attempt(started_attempts(policy.request(key=key, size=1.0, wait=20.0))[0])
+    kept = len(policy.routing_policy._copies)
+    assert 0 < kept <= policy.routing_policy._set.warm_up / 20.0 + 1
--- /dev/null
+++ b/tests/test_purges.py
@@ -0,0 +1,65 @@
+"""Purges of cached objects, and the clocks that date them."""
+
+from __future__ import annotations
+
+import struct
+import time
+from pathlib import Path
+
+import pytest
+from router_harness import RouterHarness
+from socket_requests import is_rejection, request_objects
+
+
+@pytest.mark.parametrize(
+    "kind, name", [(3, struct.pack(">Q", 0x7F3A9C21E0B4D655)), (4, struct.pack(">H", 17))]
+)
+def test_no_copy_older_than_a_purge(router: RouterHarness, kind: int, name: bytes) -> None:
+    client = router.connect()
+    client.send_request()
+    router.next_command().reply()
+    assert client.read_response().status == 200
+    moment = int(time.time() * 1000) - 100
+    router.change_log.send_event(2, kind, name + struct.pack(">Q", moment))
+
+    def asked() -> bool:
+        client.send_request()
+        fetch = router.next_command()
+        fetch.reply()
+        assert client.read_response().status == 200
+        oldest = int(fetch.fields.get("oldest", 0))
+        assert not oldest or time.time() * 1000 - oldest >= moment
+        return oldest > 0
+
+    router.wait_until(asked, "the purge")
+
+
+def test_an_answer_that_is_older_than_the_purge_it_was_asked_after(router: RouterHarness) -> None:
+    client, moment = router.connect(), int(time.time() * 1000)
+    router.change_log.send_event(2, 4, struct.pack(">HQ", 17, moment))
+    router.change_log.send_event(3, 2, router.endpoint_record(router.caches[0], 0))
+    router.wait_until(lambda: len(router.log_lines("node")) == 5, "the change after the purge")
+    client.send_request()
+    router.next_command().reply(body=b"old", born=moment - 5000)
+    router.next_command().reply(body=b"new")
+    assert client.read_response().body == b"new"
+
+
+def test_a_clock_that_is_set_back_stops_no_timer_and_hides_no_purge(tmp_path: Path) -> None:
+    flag = tmp_path / "set-back"
+    tmp_path.joinpath("sitecustomize.py").write_text(
+        "import os, time\nreal = time.time\n"
+        f"time.time = lambda: real() - (3600 if os.path.exists({str(flag)!r}) else 0)\n"
+    )
+    router = RouterHarness(env={"PYTHONPATH": str(tmp_path)})
+    client = router.connect()
+    request_objects(router, client, 2)
+    flag.touch()
+    assert is_rejection(client.request(X_TTL_MS="300"))
+    assert router.next_command("abort").command == "abort"
+    router.change_log.send_event(2, 4, struct.pack(">HQ", 17, int((time.time() - 3600) * 1000)))
+    router.change_log.send_event(3, 2, router.endpoint_record(router.caches[0], 0))
+    router.wait_until(lambda: len(router.log_lines("node")) == 5, "the change after the purge")
+    client.send_request()
+    assert int(router.next_command().fields["oldest"]) < 1_000_000
+    router.close()
--- /dev/null
+++ b/tests/test_request_validation.py
@@ -0,0 +1,109 @@
+"""Invalid requests of clients and how they are answered."""
+
+from __future__ import annotations
+
+import time
+from typing import Any
+
+import pytest
+from fastcgi_client import fastcgi_record
+from router_harness import RouterHarness
+
+from stonecove.wire.fastcgi import OVERLOADED
+from stonecove.wire.session import MOST_TURNED_AWAY
+
+
+@pytest.mark.parametrize("key", [None, "", "a,from=s-1", "a b", "a" * 129])
+def test_a_keyed_request_without_a_usable_key_is_told_so(
+    keyed_router: RouterHarness, key: str | None
+) -> None:
+    client = keyed_router.connect()
+    assert client.request(path="/svc/confirm", X_TXN_KEY=key).status == 400
+    client.send_request(path="/svc/confirm", X_TXN_KEY="k1")
+    assert keyed_router.next_command().fields["nonce"] == "k1"
+
+
+@pytest.mark.parametrize(
+    "what, status",
+    [
+        ({"X_TXN": None}, 400),
+        ({"X_TXN": "a,from=s-1"}, 400),
+        ({"X_ROW": "xyz"}, 400),
+        ({"X_SEG": "-1"}, 400),
+        ({"X_TXN": "9b1f"}, 400),
+        ({"X_ROW": "7f3a9c21e0b4d655f"}, 400),
+        ({"X_SEG": "-4000000"}, 400),
+        ({"X_SEG": "1e12"}, 400),
+        ({"X_SEG": "70000"}, 400),
+        ({"X_BUCKET": "256"}, 400),
+        ({"X_BUCKET": ""}, 400),
+        ({"X_TTL_MS": "99999999999"}, 400),
+        ({"X_WORKING_SET_KB": "99999999999"}, 400),
+        ({"X_TTL_MS": "soon"}, 400),
+        ({"X_TTL_MS": "0"}, 400),
+        ({"X_WORKING_SET_KB": "nan"}, 400),
+        ({"path": "/svc/nothing"}, 404),
+        ({"path": "/else"}, 404),
+        ({"X_FILL": "y" * 40_000}, 413),
+    ],
+)
+def test_a_bad_request_is_told_so(router: RouterHarness, what: dict[str, Any], status: int) -> None:
+    client = router.connect()
+    assert client.request(**what).status == status
+    assert router.log_lines("bad-request")
+    client.send_request(2)
+    router.next_command().reply()
+    assert client.read_response().status == 200
+
+
+@pytest.mark.parametrize("kind, status", [(4, 413), (5, 413)])
+def test_what_never_ends_is_answered_before_its_end(router: RouterHarness, kind: int, status: int) -> None:
+    client = router.connect()
+    client.sock.sendall(
+        client.encode_request()[:-8].replace(fastcgi_record(4, 1), b"" if kind == 4 else fastcgi_record(4, 1))
+    )
+    client.sock.sendall(fastcgi_record(kind, 1, bytes(60_000)) * 3)  # no end of it
+    assert client.read_response()[:2] == (1, status)
+
+
+def test_the_id_of_an_open_request_is_not_taken_again(router: RouterHarness) -> None:
+    """Guards against an answer that goes to the wrong one of the two."""
+    client, other = router.connect(), router.connect()
+    client.send_request(X_TXN="9b1f03aa5c7e2d41")
+    fetch = router.next_command()
+    assert other.request(X_TXN="9b1f03aa5c7e2d41", X_ROW="0123456789abcdef").status == 400
+    fetch.reply(body=b"mine")
+    assert client.read_response().body == b"mine" and router.commands.empty()
+    other.send_request(X_TXN="9b1f03aa5c7e2d41")  # free again
+    router.next_command().reply(body=b"now")
+    assert other.read_response().body == b"now"
+
+
+@pytest.mark.parametrize("pause", [0.0, 0.005])
+def test_a_client_that_is_turned_away_again_and_again_is_left(router: RouterHarness, pause: float) -> None:
+    """What it had open before is answered first, though it goes on sending.
+
+    What comes behind the last that is turned away by itself is refused by the protocol; how much that is
+    depends on how the bytes come in, but for requests that come one by one.
+    """
+    client = router.connect()
+    client.send_request(1)
+    fetch = router.next_command()
+    for ident in range(2, 25):
+        client.send_request(ident, path="/svc/nothing")
+        time.sleep(pause)
+    router.wait_until(lambda: len(router.log_lines("bad-request")) > 3, "the refusals")
+    fetch.reply(body=b"first")
+    responses = []
+    with pytest.raises(EOFError):
+        while True:
+            responses.append(client.read_response())
+    assert [response.status for response in responses if response.body == b"first"] == [200]
+    ends = [
+        (response.status, response.protocol_status) for response in responses if response.body != b"first"
+    ]
+    turned_away = ends.count((404, 0))
+    assert ends == [(404, 0)] * turned_away + [(0, OVERLOADED)] * (len(ends) - turned_away)
+    if pause:
+        assert (turned_away, len(ends)) == (MOST_TURNED_AWAY + 1, 23)
+    assert turned_away > MOST_TURNED_AWAY
--- /dev/null
+++ b/tests/test_retries.py
@@ -0,0 +1,147 @@
+"""When a request is retried, and which failures count against a cache."""
+
+from __future__ import annotations
+
+import socket
+import struct
+from typing import Any
+
+import pytest
+from router_harness import RouterHarness
+from socket_requests import FAILED_STATUS, WRITE_REQUEST, is_rejection
+from tcp_endpoints import UnresponsiveAddress
+
+
+@pytest.mark.parametrize(
+    "word, what, again",
+    [
+        ("404", {}, True),
+        ("503", {}, True),
+        ("504", {}, True),
+        ("500", {}, True),
+        ("404", WRITE_REQUEST, True),
+        ("503", WRITE_REQUEST, True),
+        ("500", WRITE_REQUEST, False),
+    ],
+)
+def test_only_what_never_ran_or_does_no_harm_goes_out_again(
+    router: RouterHarness, word: str, what: dict[str, Any], again: bool
+) -> None:
+    client = router.connect()
+    client.send_request(**what)
+    first = router.next_command()
+    first.reply(word, tell="")
+    if again:
+        second = router.next_command()
+        assert second.request_id == first.request_id and second.cache is not first.cache
+        second.reply(body=b"ok")
+        assert client.read_response().body == b"ok"
+    else:
+        assert client.read_response().status == FAILED_STATUS
+        assert router.commands.empty()
+
+
+@pytest.mark.parametrize("what, status", [({}, 200), (WRITE_REQUEST, FAILED_STATUS)])
+def test_a_connection_that_breaks_may_have_run_what_was_on_it(
+    router: RouterHarness, what: dict[str, Any], status: int
+) -> None:
+    client = router.connect()
+    client.send_request(**what)
+    fetch = router.next_command()
+    fetch.sock.shutdown(2)
+    if status == 200:
+        router.next_command().reply()
+    assert client.read_response().status == status
+    assert router.commands.empty()
+
+
+def test_a_refused_connection_proves_that_nothing_ran(router: RouterHarness) -> None:
+    client = router.connect()
+    client.send_request(**WRITE_REQUEST)
+    home = router.next_command()
+    home.reply()
+    assert client.read_response().status == 200
+    home.cache.listener.close()
+    for _ in range(20):  # the old connection breaks first
+        client.send_request(**WRITE_REQUEST)
+        router.next_command().reply()
+        assert client.read_response().status == 200
+
+
+def test_a_connection_that_never_comes_up_proves_that_nothing_ran(router: RouterHarness) -> None:
+    unresponsive, client = UnresponsiveAddress(), router.connect()
+    router.change_log.send_event(2, 2, router.endpoint_record(router.caches[0], 0, port=unresponsive.port))
+    router.wait_until(lambda: len(router.log_lines("node")) == 5, "the change")
+    for number in range(8):  # about half of them have their home there
+        client.send_request(X_ROW=f"{number + 1:016x}", **WRITE_REQUEST)
+        router.next_command().reply()
+        assert client.read_response().status == 200
+    assert any("not up in time" in line for line in router.log_lines("connection-lost"))
+    unresponsive.close()
+
+
+def test_given_up_at_once_when_nothing_is_left_to_try(router: RouterHarness) -> None:
+    client = router.connect()
+    for cache in router.caches:
+        cache.listener.close()
+    assert is_rejection(client.request(X_TTL_MS="3600000"))
+
+
+@pytest.mark.parametrize("what, refused", [({}, True), (WRITE_REQUEST, False)])
+def test_a_silent_cache_is_answered_for_when_time_is_up(
+    router: RouterHarness, what: dict[str, Any], refused: bool
+) -> None:
+    client = router.connect()
+    response = client.request(X_TTL_MS="300", **what)
+    assert is_rejection(response) if refused else response.status == FAILED_STATUS
+    fetch = router.next_command()
+    assert router.next_command("abort").request_id == fetch.request_id
+    fetch.reply(body=b"too late")
+    client.send_request(2)
+    router.next_command().reply(body=b"in time")
+    response = client.read_response()
+    assert (response.request_id, response.body) == (2, b"in time")
+
+
+def test_a_connection_reset_while_new_is_no_word_of_its_cache(router: RouterHarness) -> None:
+    """What was not written goes by another connection: a write too, for it surely did not run."""
+    client, home = router.connect(), router.caches[0]
+    router.change_log.send_event(2, 2, router.endpoint_record(router.caches[1], 2))
+    router.wait_until(lambda: len(router.log_lines("node")) == 5, "only one cache is left")
+    for _ in range(4):
+        client.send_request(**WRITE_REQUEST)
+        fetch = router.next_command()
+        fetch.reply()
+        assert client.read_response().status == 200
+        fetch.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        fetch.sock.shutdown(2)
+    assert len(home.listener.accepted) == 4 and not router.log_lines("policy")
+
+
+def test_a_connection_that_breaks_now_and_then_ejects_no_cache(router: RouterHarness) -> None:
+    """Each break is made good at the same cache, and takes nothing from what others may try again."""
+    client = router.connect()
+    for _ in range(40):  # more than the budget for further attempts would bear
+        client.send_request()
+        home = router.next_command()
+        home.sock.shutdown(2)
+        again = router.next_command()
+        assert again.cache is home.cache
+        again.reply()
+        assert client.read_response().status == 200
+    assert not router.log_lines("policy")
+
+
+def test_one_broken_connection_ejects_no_cache(router: RouterHarness) -> None:
+    """All that was on it is asked for again at the same cache, which holds it by now."""
+    client = router.connect()
+    for ident in range(1, 4):
+        client.send_request(ident)
+    fetches = [router.next_command() for _ in range(3)]
+    for fetch in fetches:
+        fetch.sock.shutdown(2)
+    for _ in fetches:
+        again = router.next_command()
+        assert again.cache is fetches[0].cache
+        again.reply()
+    assert {client.read_response().status for _ in fetches} == {200} and not router.log_lines("policy")
--- /dev/null
+++ b/tests/test_shutdown.py
@@ -0,0 +1,72 @@
+"""Graceful shutdown after SIGTERM."""
+
+from __future__ import annotations
+
+import signal
+
+import pytest
+from router_harness import SETTINGS, RouterHarness
+from socket_requests import FAILED_STATUS, WRITE_REQUEST, is_rejection
+from waiting import TEST_TIMEOUT
+
+
+@pytest.mark.parametrize("deadline, within", [(600.0, 0.8), (9000.0, 3.2)])
+def test_sigterm_answers_before_sigkill(deadline: float, within: float) -> None:
+    """SIGKILL comes 0.7 s after the longest deadline, of which 3 s count at most."""
+    classes = [{**cls, "deadline": deadline, "on_time": 500.0} for cls in SETTINGS["classes"]]
+    router = RouterHarness(classes=classes)
+    client = router.connect()
+    client.send_request(X_TTL_MS="60000")
+    router.next_command()
+    router.process.send_signal(signal.SIGTERM)
+    assert is_rejection(client.read_response())
+    assert router.process.wait(TEST_TIMEOUT) == 0
+    assert router.log_lines("stopping")[0].endswith(f" within={within}") and router.log_lines("stopped")
+    router.close()
+
+
+def test_sigterm_finishes_what_was_taken_and_takes_more_for_the_grace(router: RouterHarness) -> None:
+    early = router.connect()
+    early.send_request()
+    held = router.next_command()
+    router.process.send_signal(signal.SIGTERM)
+    router.wait_until(lambda: router.log_lines("stopping"), "the stop")
+    late = router.connect()
+    late.send_request()
+    router.next_command().reply(body=b"late")
+    assert late.read_response().body == b"late"
+    held.reply(body=b"early")
+    assert early.read_response().body == b"early"
+    assert router.process.wait(TEST_TIMEOUT) == 0
+    router.process = router.start()
+
+
+def test_sigterm_while_all_places_are_taken_loses_nothing() -> None:
+    """Guards against an end with connections that wait to be accepted, and against one by an error."""
+    router = RouterHarness(sockets=16)  # of which clients get 8
+    held = [router.connect() for _ in range(8)]
+    for client in held:
+        client.send_request()
+    fetches = [router.next_command() for _ in held]
+    late = router.connect()
+    late.send_request(X_ROW="0123456789abcdef")
+    router.process.send_signal(signal.SIGTERM)
+    router.wait_until(lambda: router.log_lines("stopping"), "the stop")
+    for fetch in fetches:
+        fetch.reply(body=b"held")
+    assert {client.read_response().body for client in held} == {b"held"}
+    router.next_command().reply(body=b"late")
+    assert late.read_response().body == b"late"
+    assert router.process.wait(TEST_TIMEOUT) == 0 and not router.log_lines("Exception")
+    router.close()
+
+
+def test_sigterm_answers_what_no_cache_answers(router: RouterHarness) -> None:
+    clients = [router.connect(), router.connect()]
+    clients[0].send_request(X_TTL_MS="3600000")
+    clients[1].send_request(X_TTL_MS="3600000", **WRITE_REQUEST)
+    router.next_command(), router.next_command()
+    router.process.send_signal(signal.SIGTERM)
+    assert is_rejection(clients[0].read_response()) and clients[1].read_response().status == FAILED_STATUS
+    assert router.process.wait(TEST_TIMEOUT) == 0
+    router.process = router.start()
--- /dev/null
+++ b/tests/test_statistics.py
@@ -0,0 +1,51 @@
+"""The statistics line of the log."""
+
+from __future__ import annotations
+
+from router_harness import SETTINGS
+
+from stonecove import exchange
+from stonecove.ground.clock import Clock
+from stonecove.ground.log import divert
+from stonecove.ground.timers import Timers
+from stonecove.memory.budget import Budget
+from stonecove.settings import settings_from
+from stonecove.stages.route import Route
+from stonecove.wire.channel import Channel, Owner
+
+
+def test_the_stats_line_tells_why_requests_were_refused() -> None:
+    lines: list[tuple[str, dict[str, object]]] = []
+    clock, responses = Clock(lambda: 1000.0, lambda: 1000.0), list[exchange.Answer]()
+    budget = Budget()
+    budget.most = 1e9
+    route = Route(settings_from(SETTINGS), 7, clock, Timers(clock, lambda: 0.0), budget, 0.0, fail_on_connect)
+    route.asked(
+        exchange.Asked(
+            "9b1f03aa5c7e2d41",
+            "image",
+            "7f3a9c21e0b4d655",
+            "0",
+            0,
+            7,
+            0,
+            17,
+            4.5,
+            3000.0,
+            "",
+            b"",
+            responses.append,
+        )
+    )
+    assert not route.decide()
+    divert(lambda event, fields: lines.append((event, fields)))
+    try:
+        route.book.line(**route.figures())
+    finally:
+        divert(None)
+    assert [response.verdict for response in responses] == [exchange.Verdict.REFUSED]
+    assert [(event, fields["refused_no_cache"]) for event, fields in lines] == [("stats", 1)]
+
+
+def fail_on_connect(owner: Owner, address: tuple[str, int], patience: float) -> Channel:
+    raise AssertionError("there is nobody to connect to")
