--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -12,8 +12,8 @@
 from stonecove.stages.admit import Admit
 
 
-def test_idle_clients_make_room_and_busy_ones_stay() -> None:
-    """Guards against connections that are merely held keeping out those that ask."""
+def test_idle_clients_are_evicted_and_busy_ones_stay() -> None:
+    """Evicted because a connection without a request must not keep out a client that has one."""
     router = RouterHarness(sockets=16)  # of which clients get 8
     busy, halfway = router.connect(), router.connect()
     busy.send_request()
@@ -35,7 +35,7 @@
     router.close()
 
 
-def test_no_room_for_a_request_is_a_refusal() -> None:
+def test_request_above_the_in_flight_limit_is_rejected() -> None:
     router = RouterHarness(limits={**SETTINGS["limits"], "most_held": 1})
     client = router.connect()
     client.send_request(1)
@@ -48,7 +48,7 @@
     router.close()
 
 
-def test_no_memory_for_a_request_is_a_refusal_and_what_is_held_is_given_back() -> None:
+def test_request_above_the_memory_budget_is_rejected_and_memory_is_released() -> None:
     router = RouterHarness(memory_mb=0.1)  # a quarter of it is 25,000 bytes
     client = router.connect()
     for _ in range(5):
@@ -61,7 +61,7 @@
     router.close()
 
 
-def test_running_out_of_descriptors_ends_nothing() -> None:
+def test_running_out_of_descriptors_does_not_stop_the_router() -> None:
     router = RouterHarness(descriptors=24)
     clients = [router.connect() for _ in range(60)]
     router.wait_until(lambda: router.log_lines("no-descriptors"), "a line of the log")
@@ -75,8 +75,11 @@
     router.close()
 
 
-def test_over_our_share_of_a_core_only_who_has_waited_is_refused() -> None:
-    """Guards against refusals that feed themselves, and against being stopped; a new share holds at once."""
+def test_above_the_cpu_share_only_requests_that_waited_are_shed() -> None:
+    """Recent requests are admitted, because shedding everything would sustain the overload.
+
+    A new share applies at once.
+    """
     settings = settings_from({"zone": 0, "classes": [{"deadline": 5000.0, "on_time": 900.0}]})
     admit = Admit(settings, OpenRequests(), Budget(), 0.0, 1)
     admit.cpu.share(1e-9)
@@ -92,7 +95,7 @@
 
 
 @pytest.mark.parametrize("waited, refused", [(10.0, []), (50.0, [0]), (100.0, [0, 1]), (9000.0, [0, 1, 2])])
-def test_what_has_waited_too_long_is_refused_by_its_worth(waited: float, refused: list[int]) -> None:
+def test_requests_that_waited_too_long_are_shed_by_priority_weight(waited: float, refused: list[int]) -> None:
     classes = [{"deadline": 5000.0, "on_time": 200.0, "importance": worth} for worth in (1.0, 2.0, 4.5)]
     settings = settings_from({"zone": 0, "classes": classes})
     admit = Admit(settings, OpenRequests(), Budget(), 0.0, 1)
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The wire adapter, with bytes of our own."""
+"""The simulator adapter, on hand-encoded frames."""
 
 from __future__ import annotations
 
@@ -72,11 +72,11 @@
     return replies
 
 
-def test_empty_batch() -> None:
+def test_empty_batch_gives_an_empty_reply() -> None:
     assert talk(batch()) == [(0, b"")]
 
 
-def test_a_request_becomes_a_get_and_a_timer() -> None:
+def test_request_becomes_an_attempt_and_a_timer() -> None:
     replies = talk(batch(), batch(launch(3), listed(3)), batch(incoming(3, 8)))
     assert [count for count, _ in replies] == [0, 0, 2]
     get = struct.unpack_from(">BIIIHdIHBdB", replies[2][1])
@@ -84,13 +84,13 @@
     assert struct.unpack_from(">BII", replies[2][1], 39) == (110, 3, 8)
 
 
-def test_every_event_is_read() -> None:
+def test_every_event_is_decoded() -> None:
     for record in OTHERS:
         assert talk(batch(launch(3), listed(3), record, incoming(3, 9)))[0][0] == 2
     assert talk(batch(launch(3), listed(3), incoming(3, 8)), batch(done(3, 8)))[1] == (0, b"")
 
 
-def test_instances_stand_apart_and_restart_empty() -> None:
+def test_instances_are_independent_and_restart_empty() -> None:
     stop = struct.pack(">BI", 50, 3)
     first = batch(launch(3), stop, launch(3), listed(3), launch(4))
     replies = talk(first, batch(incoming(3, 1), incoming(4, 1)))
@@ -98,7 +98,7 @@
     assert struct.unpack_from(">BII", replies[1][1], 56) == (60, 4, 1)
 
 
-def test_actions_are_written_out() -> None:
+def test_actions_are_encoded() -> None:
     link = Link()
     link.batch(0.0, 2, launch(3) + listed(3))
     expected = [
@@ -114,7 +114,7 @@
         assert struct.unpack(form, benchlink._WRITERS[type(action)](3, action)) == fields
 
 
-def test_an_exception_becomes_a_bug_report(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_exception_becomes_a_bug_report(monkeypatch: pytest.MonkeyPatch) -> None:
     link = Link()
     link.batch(0.0, 2, launch(3) + listed(3))
 
@@ -141,19 +141,19 @@
         struct.pack(">dII", 0.0, 18, 0) + b"xx",
     ],
 )
-def test_malformed_frames_are_refused(data: bytes) -> None:
+def test_malformed_frames_are_rejected(data: bytes) -> None:
     done = subprocess.run([sys.executable, "-m", "stonecove.benchlink"], input=data, capture_output=True)
     if done.returncode == 0:
         pytest.fail("accepted")
     assert b"malformed input" in done.stderr and b"Traceback" not in done.stderr
 
 
-def test_a_short_record_within_a_sound_frame_is_a_wire_error() -> None:
+def test_short_record_within_a_valid_frame_is_a_wire_error() -> None:
     with pytest.raises(WireError):
         Link().batch(0.0, 1, incoming(3, 8)[:-3])
 
 
-def test_settings_name_what_is_missing() -> None:
+def test_settings_error_names_what_is_missing() -> None:
     for missing, table in (
         ("classes", {"zone": 1}),
         ("zone", {"classes": []}),
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -16,7 +16,7 @@
 from waiting import TEST_TIMEOUT
 
 
-def test_sighup_moves_the_change_log_while_requests_go_on(router: RouterHarness) -> None:
+def test_reload_moves_the_change_log_while_requests_continue(router: RouterHarness) -> None:
     client, new = router.connect(), FakeChangeLog()
     client.send_request()
     fetch = router.next_command()
@@ -49,7 +49,9 @@
         '{"settings": {}}',
     ],
 )
-def test_a_bad_new_configuration_is_one_line_and_the_old_one_stays(router: RouterHarness, text: str) -> None:
+def test_invalid_reload_is_logged_in_one_line_and_the_old_configuration_stays(
+    router: RouterHarness, text: str
+) -> None:
     assert router.change_log.resumed_from.get(timeout=TEST_TIMEOUT) == 1
     changes = json.loads(text) if text.startswith('{"') else None
     router.reload(text if changes is None else json.dumps({**router.config, **changes}))
@@ -69,10 +71,10 @@
         ({"settings": {**SETTINGS, "zone": 0}}, "zone"),
     ],
 )
-def test_another_routers_file_is_refused_whole(
+def test_configuration_of_another_router_is_rejected_as_a_whole(
     router: RouterHarness, change: dict[str, Any], part: str
 ) -> None:
-    """Neither its limits nor its change log may turn up here."""
+    """Neither its limits nor its change log may be applied."""
     assert router.change_log.resumed_from.get(timeout=TEST_TIMEOUT) == 1
     new, limits = FakeChangeLog(), {**router.config["limits"], "memory_mb": 0.001}
     router.reload(
@@ -89,7 +91,7 @@
     new.listener.close()
 
 
-def test_a_new_limit_holds_at_once(router: RouterHarness) -> None:
+def test_reloaded_limit_applies_at_once(router: RouterHarness) -> None:
     limits = {"limits": {**router.config["limits"], "memory_mb": 0.001}}
     router.reload(json.dumps({**router.config, **limits}))
     router.wait_until(lambda: router.log_lines("reloaded"), "the new configuration")
@@ -110,7 +112,7 @@
         '{"settings":{"zone":0,"classes":[{"deadline":1}]},"listen":"255.1.1.1:1","changelog":"127.0.0.1:1"}',
     ],
 )
-def test_a_bad_configuration_is_one_clear_line(tmp_path: Path, text: str | None) -> None:
+def test_invalid_configuration_at_startup_is_reported_in_one_line(tmp_path: Path, text: str | None) -> None:
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -14,8 +14,8 @@
 from waiting import TEST_TIMEOUT
 
 
-def test_links_to_a_node_that_left_the_list_are_given_up(router: RouterHarness) -> None:
-    """Nobody there answers any more: what is out ends at once, and nothing is kept for the node."""
+def test_attempt_at_a_removed_endpoint_ends_and_is_retried_elsewhere(router: RouterHarness) -> None:
+    """No response can come from it: attempts end at once and its connections are closed."""
     client = router.connect()
     client.send_request()
     fetch = router.next_command()
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize("state", [1, 2])
-def test_nothing_new_goes_to_a_cache_that_drains_or_is_gone(router: RouterHarness, state: int) -> None:
+def test_no_new_attempt_at_a_draining_or_removed_cache(router: RouterHarness, state: int) -> None:
     client, (leaving, staying) = router.connect(), router.caches
     assert {fetch.cache for fetch in request_objects(router, client)} == {leaving, staying}
     router.change_log.send_event(2, 2, router.endpoint_record(leaving, state))
@@ -36,7 +36,7 @@
     assert {fetch.cache for fetch in request_objects(router, client)} == {staying}
 
 
-def test_a_source_that_drains_is_named_no_more(router: RouterHarness) -> None:
+def test_draining_source_is_not_named_any_more(router: RouterHarness) -> None:
     client = router.connect()
     assert request_objects(router, client, 1)[0].fields["from"] == "s-00000020"
     parent = struct.pack(">IIHBBBHIQ", 0x20, 0x7F000001, 1, 1, 0, 1, 0, 9_000_000, 0)
@@ -45,8 +45,8 @@
     assert request_objects(router, client, 1)[0].fields["from"] == "s-00000030"
 
 
-def test_a_new_cache_at_an_old_address_is_another_cache(router: RouterHarness) -> None:
-    """Guards against naming a home by its address, and against using a connection to the old one."""
+def test_new_cache_at_a_reused_address_gets_new_connections(router: RouterHarness) -> None:
+    """An endpoint is identified by its id; the connections to the old one are not used for the new one."""
     client, (old, _) = router.connect(), router.caches
     request_objects(router, client)
     assert old.listener.accepted
@@ -58,7 +58,7 @@
     assert len(old.listener.accepted) > before
 
 
-def test_a_cache_that_has_moved_is_asked_at_its_new_address(router: RouterHarness) -> None:
+def test_migrated_cache_is_reached_at_its_new_address(router: RouterHarness) -> None:
     client, (old, _) = router.connect(), router.caches
     assert old in {fetch.cache for fetch in request_objects(router, client)}
     moved = FakeCache(old.endpoint_id, router.commands)
@@ -69,10 +69,10 @@
 
 
 @pytest.mark.parametrize("since, lost", [(1000, True), (-60_000, False)])
-def test_connections_older_than_the_start_of_their_machine_are_closed(
+def test_connections_older_than_the_start_of_their_endpoint_are_closed(
     router: RouterHarness, since: int, lost: bool
 ) -> None:
-    """Guards against waiting for a process that is gone, and giving up what its successor works on."""
+    """A request to the old process is not waited for; one that its successor serves is kept."""
     client = router.connect()
     client.send_request()
     fetch = router.next_command()
@@ -87,19 +87,19 @@
     assert client.read_response().body == b"here" and bool(router.log_lines("connection-lost")) is lost
 
 
-@pytest.mark.parametrize("breaks", ["closed", "gap", "unreadable", "silent", "trickling"])
-def test_the_change_log_goes_on_where_it_broke(router: RouterHarness, breaks: str) -> None:
+@pytest.mark.parametrize("failure", ["closed", "gap", "unreadable", "silent", "trickling"])
+def test_change_log_resumes_where_it_broke(router: RouterHarness, failure: str) -> None:
     assert router.change_log.resumed_from.get(timeout=TEST_TIMEOUT) == 1
     purge = struct.pack(">HQ", 40, 1)
     router.change_log.send_event(2, 4, purge)
     router.change_log.send_event(2, 0)
-    if breaks == "closed":
+    if failure == "closed":
         router.change_log.listener.accepted[-1].shutdown(2)
-    elif breaks == "gap":
+    elif failure == "gap":
         router.change_log.send_event(4, 4, purge)
-    elif breaks == "unreadable":
+    elif failure == "unreadable":
         router.change_log.listener.accepted[-1].sendall(struct.pack(">IQB", 2, 3, 0))
-    elif breaks == "trickling":
+    elif failure == "trickling":
         router.change_log.listener.accepted[-1].sendall(struct.pack(">IQB", 500, 3, 2))
 
         def given_up() -> bool:
@@ -112,8 +112,8 @@
     router.wait_until(lambda: len(router.log_lines("node")) == 5, "the next event")
 
 
-def test_a_gap_that_stays_is_closed_by_the_whole_list(router: RouterHarness) -> None:
-    """What was in the gap, as a drain or a purge, must not stay unknown."""
+def test_persistent_gap_is_closed_by_the_full_endpoint_list(router: RouterHarness) -> None:
+    """The events in the gap, such as a drain or a purge, must not stay unknown."""
     for _ in range(2):  # the log no longer has event 2
         assert router.change_log.resumed_from.get(timeout=TEST_TIMEOUT) == 1
         router.change_log.send_event(3, 4, struct.pack(">HQ", 40, 1))
@@ -125,9 +125,9 @@
     router.wait_until(lambda: len(router.log_lines("node")) == 6, "the whole list")
 
 
-@pytest.mark.parametrize("news", ["drain", "source", "purge"])
-def test_what_waits_for_a_connection_is_looked_at_again(news: str) -> None:
-    """Guards against sending by a decision that was overtaken while the connection came up."""
+@pytest.mark.parametrize("event", ["drain", "source", "purge"])
+def test_pending_attempt_is_checked_again_when_its_connection_is_established(event: str) -> None:
+    """Checked again because events may have overtaken the decision meanwhile."""
     limits = {"connect_timeout": 28_000.0, "conn_idle": 600_000.0, "most_tries": 8, "cancel": True}
     router = RouterHarness(limits=limits)  # time for the kernel to try again and again
     unresponsive, client, (slow, other) = UnresponsiveAddress(), router.connect(), router.caches
@@ -138,7 +138,7 @@
     client.send_request(X_TTL_MS="30000")
     client.send_request(2, path="/svc/nothing")
     assert client.read_response().status == 404  # so the first request has been decided
-    if news == "drain":
+    if event == "drain":
         router.change_log.send_event(
             3, 2, router.endpoint_record(slow, 1, port=unresponsive.port) + router.endpoint_record(other, 0)
         )
@@ -149,19 +149,19 @@
             sock.settimeout(1.0)
             assert sock.recv(1) == b""  # it may end the connection, but sends nothing
     else:
-        parent = struct.pack(">IIHBBBHIQ", 0x20, 0x7F000001, 1, int(news == "source"), 0, 1, 0, 9_000_000, 0)
+        parent = struct.pack(">IIHBBBHIQ", 0x20, 0x7F000001, 1, int(event == "source"), 0, 1, 0, 9_000_000, 0)
         router.change_log.send_event(
-            3, 4, struct.pack(">HQ", 17 + (news == "source"), int(time.time() * 1000))
+            3, 4, struct.pack(">HQ", 17 + (event == "source"), int(time.time() * 1000))
         )
         router.change_log.send_event(4, 2, parent)
         router.wait_until(lambda: len(router.log_lines("node")) == 7, "the change after the purge")
         fields = unresponsive.accept_connection().recv(1000)
-        assert (b"oldest=" in fields, b"from=s-00000030" in fields) == (news == "purge", news == "source")
+        assert (b"oldest=" in fields, b"from=s-00000030" in fields) == (event == "purge", event == "source")
     unresponsive.close()
     router.close()
 
 
-def test_odd_news_ends_nothing(router: RouterHarness) -> None:
+def test_unknown_events_and_endpoints_are_tolerated(router: RouterHarness) -> None:
     client, odd = router.connect(), struct.pack(">IIHBBBHIQ", 0x77, 0, 0, 9, 200, 200, 65535, 0, 2**64 - 1)
     for number in range(2, 9):
         router.change_log.send_event(number, 2, odd + odd)
--- a/tests/test_example.py
+++ b/tests/test_example.py
@@ -1,4 +1,4 @@
-"""The example does what the README says, on free ports."""
+"""The example of the README on free ports."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @contextmanager
 def running(*command: str, said: str, on: str, **env: str) -> Iterator[subprocess.Popen[str]]:
-    """Starts a program and waits for the line that says it is up; ends it in the end."""
+    """Starts a program, waits for the line that says it is ready, and kills it at the end."""
     process = subprocess.Popen(
         [sys.executable, *command],
         stdin=subprocess.PIPE,
@@ -45,7 +45,7 @@
     return done.stdout
 
 
-def test_the_example_serves(tmp_path: Path) -> None:
+def test_example_serves_requests(tmp_path: Path) -> None:
     text = (EXAMPLES / "config.json").read_text()
     for old in sorted(set(re.findall(r"127\.0\.0\.1:\d+", text))):
         text = text.replace(old, ":".join(map(str, free_address())))
--- a/tests/test_fastcgi_frontend.py
+++ b/tests/test_fastcgi_frontend.py
@@ -18,7 +18,7 @@
         fastcgi_record(9, 0, b"\x20\x00abc"),
     ],
 )
-def test_what_is_not_fastcgi_ends_its_connection_alone(router: RouterHarness, data: bytes) -> None:
+def test_malformed_fastcgi_closes_only_its_connection(router: RouterHarness, data: bytes) -> None:
     other, client = router.connect(), router.connect()
     other.send_request()
     fetch = router.next_command()
@@ -41,7 +41,9 @@
         (fastcgi_record(1, 9, struct.pack(">HB5x", 2, 1)), 3, b"\0\0\0\0\x03\0\0\0"),
     ],
 )
-def test_management_records(router: RouterHarness, data: bytes, kind: int, content: bytes) -> None:
+def test_management_records_are_answered(
+    router: RouterHarness, data: bytes, kind: int, content: bytes
+) -> None:
     client = router.connect()
     client.sock.sendall(data)
     got = client.read_record()
@@ -49,8 +51,8 @@
 
 
 @pytest.mark.parametrize("sent", ["nothing", "half a record", "half a request"])
-def test_what_never_comes_in_whole_is_ended_and_others_are_not(router: RouterHarness, sent: str) -> None:
-    """Guards against clients that hold a connection for nothing."""
+def test_incomplete_input_times_out_without_affecting_others(router: RouterHarness, sent: str) -> None:
+    """Closed because a client may not hold a connection without a complete request."""
     usual, client = router.connect(), router.connect()
     usual.send_request()
     fetch = router.next_command()
@@ -69,7 +71,7 @@
     assert usual.read_response().body == b"usual"
 
 
-def test_a_connection_that_is_not_to_be_kept_ends_with_its_answer(router: RouterHarness) -> None:
+def test_connection_without_keep_flag_closes_after_its_response(router: RouterHarness) -> None:
     client = router.connect()
     client.sock.sendall(
         client.encode_request().replace(struct.pack(">HB5x", 1, 1), bytes((0, 1)) + bytes(6), 1)
@@ -78,7 +80,7 @@
     assert len(client.read_response().body) == 100_000 and client.is_closed()
 
 
-def test_more_requests_than_a_connection_may_hold(router: RouterHarness) -> None:
+def test_request_above_the_connection_limit_is_answered_as_overloaded(router: RouterHarness) -> None:
     client = router.connect()
     for ident in range(1, 34):
         client.send_request(ident)
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -9,7 +9,7 @@
 from socket_requests import FAILED_STATUS, WRITE_REQUEST
 
 
-def test_a_request_passes_on_unchanged_and_comes_back_whole(router: RouterHarness) -> None:
+def test_request_is_forwarded_unchanged_and_response_returned_complete(router: RouterHarness) -> None:
     client, body = router.connect(), bytes(range(256)) * 900
     client.send_request(5, X_TXN="9b1f03aa5c7e2d41", X_ETAG='W/"4be0"')
     fetch = router.next_command()
@@ -35,7 +35,7 @@
     assert "X-Notmod" not in response.headers
 
 
-def test_a_write_goes_to_the_origin_with_its_body(router: RouterHarness) -> None:
+def test_write_request_is_filled_from_origin_with_its_body(router: RouterHarness) -> None:
     client, body = router.connect(), b"\x00\r\n$*" * 9600
     client.send_request(body=body, **WRITE_REQUEST)
     fetch = router.next_command()
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 7, 1000])
-def test_records_may_be_split_anywhere(router: RouterHarness, size: int) -> None:
+def test_records_and_replies_may_be_split_at_any_byte(router: RouterHarness, size: int) -> None:
     client = router.connect()
     data = client.encode_request(7, body=b"x" * 300, padding=5, X_SEG="0", X_FILL="y" * 200, **WRITE_REQUEST)
     for at in range(0, len(data), size):
@@ -58,7 +58,7 @@
     assert client.read_response()[:2] == (7, 200)
 
 
-def test_answers_come_in_any_order_and_a_long_one_holds_up_none(router: RouterHarness) -> None:
+def test_responses_complete_out_of_order_and_large_one_does_not_block_others(router: RouterHarness) -> None:
     client = router.connect()
     for ident in range(1, 33):
         client.send_request(ident, X_ROW=f"{ident:016x}")
@@ -72,7 +72,7 @@
     assert bodies == {ident: b"%d" % ident for ident in range(1, 33) if ident != 9}
 
 
-def test_a_client_that_reads_nothing_holds_up_no_other(router: RouterHarness) -> None:
+def test_client_that_does_not_read_does_not_block_others(router: RouterHarness) -> None:
     slow, quick = router.connect(), router.connect()
     for ident in range(1, 33):
         slow.send_request(ident, X_ROW=f"{ident:016x}")
@@ -82,8 +82,8 @@
     assert quick.read_response().body == b"quick"
 
 
-def test_requests_that_are_out_together_go_by_connections_of_their_own(router: RouterHarness) -> None:
-    """Guards against one spoilt answer taking along all that is asked of its cache."""
+def test_concurrent_requests_use_separate_upstream_connections(router: RouterHarness) -> None:
+    """Each on its own connection, because an invalid response closes the connection it came on."""
     client = router.connect()
     for ident in range(1, 9):
         client.send_request(ident, X_ROW=f"{ident:016x}", **WRITE_REQUEST)
@@ -95,7 +95,7 @@
     assert sorted(client.read_response().status for _ in range(8)) == [200] * 7 + [FAILED_STATUS]
 
 
-def test_the_clients_copy_that_holds(router: RouterHarness) -> None:
+def test_not_modified_response_when_client_copy_is_current(router: RouterHarness) -> None:
     client = router.connect()
     client.send_request(X_ETAG="4be0")
     router.next_command().reply("304", ver="4be0")
@@ -103,7 +103,7 @@
     assert (response.status, response.body, response.headers["X-Notmod"]) == (200, b"", "1")
 
 
-def test_a_client_that_leaves_takes_its_attempt_along(router: RouterHarness) -> None:
+def test_client_disconnect_cancels_its_attempt(router: RouterHarness) -> None:
     client = router.connect()
     client.send_request(3)
     fetch = router.next_command()
@@ -121,7 +121,7 @@
 
 
 @pytest.mark.parametrize("path", ["/svc/confirm", "/svc/image"])
-def test_the_idempotency_key_passes_on_unchanged_with_each_attempt(
+def test_idempotency_key_is_forwarded_unchanged_with_each_attempt(
     keyed_router: RouterHarness, path: str
 ) -> None:
     client = keyed_router.connect()
--- a/tests/test_invalid_responses.py
+++ b/tests/test_invalid_responses.py
@@ -13,7 +13,7 @@
 VALID_RESPONSE_FIELDS = b"tell=hit,ver=aa11,born=1796128466000"
 
 
-@pytest.mark.parametrize("what, status", [({}, 200), (WRITE_REQUEST, FAILED_STATUS)])
+@pytest.mark.parametrize("parameters, status", [({}, 200), (WRITE_REQUEST, FAILED_STATUS)])
 @pytest.mark.parametrize(
     "parts",
     [
@@ -32,12 +32,12 @@
         (b"200", VALID_RESPONSE_FIELDS, bytes(240_001)),
     ],
 )
-def test_a_spoilt_answer_may_have_run_and_ends_its_connection(
-    router: RouterHarness, parts: Any, what: dict[str, Any], status: int
+def test_invalid_response_counts_as_possibly_executed_and_closes_its_connection(
+    router: RouterHarness, parts: Any, parameters: dict[str, Any], status: int
 ) -> None:
-    """Half an answer (it stays open: the rest never comes), rubbish, and arrays that say nothing readable."""
+    """Truncated responses (the rest never comes), other protocols, and arrays with unreadable items."""
     client = router.connect()
-    client.send_request(**what)
+    client.send_request(**parameters)
     fetch = router.next_command()
     fetch.sock.sendall(parts if isinstance(parts, bytes) else resp_array(fetch.request_id.encode(), *parts))
     if status == 200:
@@ -52,7 +52,7 @@
 @pytest.mark.parametrize(
     "fields", [b"-", VALID_RESPONSE_FIELDS[:8], VALID_RESPONSE_FIELDS.replace(b"born=1", b"born=x")]
 )
-def test_a_copy_without_its_tag_or_age_is_not_passed_on(router: RouterHarness, fields: bytes) -> None:
+def test_response_without_version_or_age_is_not_forwarded(router: RouterHarness, fields: bytes) -> None:
     client = router.connect()
     client.send_request()
     fetch = router.next_command()
@@ -61,8 +61,8 @@
     assert client.read_response().body == b"whole"
 
 
-def test_what_is_more_than_owed_leaves_its_connection_in_use(router: RouterHarness) -> None:
-    """Second copies, and answers under an id that is not open."""
+def test_unexpected_responses_keep_the_connection_in_use(router: RouterHarness) -> None:
+    """Duplicate responses, and responses with the id of no open request."""
     client = router.connect()
     used = set()
     for _ in range(3):
@@ -76,7 +76,7 @@
     assert len(used) == 1 and not router.log_lines("connection-lost")
 
 
-def test_a_late_or_second_answer_is_dropped(router: RouterHarness) -> None:
+def test_late_or_duplicate_response_is_dropped(router: RouterHarness) -> None:
     client = router.connect()
     client.send_request(1)
     fetch = router.next_command()
@@ -89,24 +89,24 @@
 
 
 @pytest.mark.parametrize(
-    "word, fields, what",
+    "status, fields, parameters",
     [
         ("200", {"born": int(time.time() * 1000) - 60_000}, {"path": "/svc/page"}),  # fresh for 20 s
         ("304", {"ver": "other"}, {"X_ETAG": "4be0"}),
         ("304", {}, {}),
     ],
 )
-def test_what_a_cache_must_not_send_is_not_passed_on(
-    router: RouterHarness, word: str, fields: dict[str, object], what: dict[str, Any]
+def test_stale_or_mismatched_response_is_not_forwarded(
+    router: RouterHarness, status: str, fields: dict[str, object], parameters: dict[str, Any]
 ) -> None:
     client = router.connect()
-    client.send_request(**what)
-    router.next_command().reply(word, b"", **fields)
+    client.send_request(**parameters)
+    router.next_command().reply(status, b"", **fields)
     router.next_command().reply(body=b"good")
     assert client.read_response().body == b"good" and len(router.log_lines("bad-copy")) == 1
 
 
-def test_a_copy_is_called_current_only_if_the_cache_names_it(router: RouterHarness) -> None:
+def test_not_modified_requires_a_version_from_the_cache(router: RouterHarness) -> None:
     client = router.connect()
     client.send_request(X_ETAG="4be0", **WRITE_REQUEST)
     fetch = router.next_command()
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -1,4 +1,4 @@
-"""What is over is freed at once: the collector looks seldom, and a buffer weighs nothing in its count."""
+"""Memory is released by reference counting: the garbage collector runs seldom and ignores buffer sizes."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Client:
-    """Whoever asked."""
+    """The client of a request; collects the responses."""
 
     def __init__(self) -> None:
         self.answers: list[Answer] = []
@@ -39,7 +39,7 @@
 
 
 class Bench:
-    """A route with two caches, whose connections never come up by themselves."""
+    """A request router with two caches, whose connections are never established."""
 
     def __init__(self) -> None:
         clock, budget = Clock(lambda: 1000.0, lambda: 1000.0), Budget()
@@ -86,7 +86,7 @@
         assert request is not None and not self.route.decide()
 
 
-def test_a_connection_that_is_over_is_freed_with_its_buffer() -> None:
+def test_closed_connection_is_freed_with_its_buffer() -> None:
     bench = Bench()
     bench.request(Client())
     assert len(bench.channels) == 1
@@ -95,7 +95,7 @@
     assert held() is None
 
 
-def test_a_request_that_is_over_is_freed_with_its_attempts() -> None:
+def test_completed_request_is_freed_with_its_attempts() -> None:
     bench, client = Bench(), Client()
     held = weakref.ref(client)
     bench.request(client)
@@ -106,7 +106,7 @@
     assert held() is None
 
 
-def test_the_orders_of_an_old_list_are_freed_with_it(policy: PolicyHarness) -> None:
+def test_hash_rings_of_a_replaced_endpoint_list_are_freed(policy: PolicyHarness) -> None:
     policy.request(key=1)
     held = [weakref.ref(policy.routing_policy._caches), weakref.ref(policy.routing_policy._parents)]
     policy.update_endpoint(CACHES[0], ListKind.DELTA, weight=3.0)
--- a/tests/test_peer_time.py
+++ b/tests/test_peer_time.py
@@ -1,4 +1,4 @@
-"""The translation of told Unix times: what counts as evidence that clocks differ, and what does not."""
+"""The translation of Unix times of peers: what counts as evidence that clocks differ."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Machine:
-    """A clock of our own whose steady and wall time the test sets, in seconds."""
+    """A local clock whose monotonic and wall time the test sets, in seconds."""
 
     def __init__(self) -> None:
         self.steady, self.wall_ahead = START, 0.0
@@ -22,7 +22,7 @@
         self.peers = PeerTime(self.clock)
 
     def copy(self, age: float, peers_ahead: float = 0.0, took: float = 0.02) -> None:
-        """A copy comes that was given out so many seconds before its answer, by the peers' clock."""
+        """Receives a copy that left the origin `age` seconds before its response, by the peers' clock."""
         sent = self.clock.now()
         self.steady += took
         received = self.clock.now()
@@ -30,7 +30,7 @@
         self.steady += 0.3
 
     def off_by(self) -> float:
-        """Seconds by which the peers' clock is taken to be ahead of ours."""
+        """Estimated seconds by which the clock of the peers is ahead of the local one."""
         return (self.clock.now() - self.peers.local(self.clock.now())) / 1000.0
 
 
@@ -46,8 +46,8 @@
     divert(None)
 
 
-def test_copies_that_are_older_than_their_attempt_move_nothing(machine: Machine) -> None:
-    """A parent may have got them from the origin for somebody else, a while before."""
+def test_copies_older_than_their_attempt_do_not_move_the_peer_clock(machine: Machine) -> None:
+    """A parent may have fetched them from the origin for another request earlier."""
     for _ in range(5):
         machine.copy(1.4)
     assert machine.off_by() == 0.0
@@ -57,20 +57,20 @@
 
 
 @pytest.mark.parametrize("ahead", [-3600.0, -1.5, 30.0, 3600.0])
-def test_a_clock_that_is_off_is_found_out_by_the_freshest_copies(machine: Machine, ahead: float) -> None:
+def test_clock_offset_is_learned_from_the_freshest_copies(machine: Machine, ahead: float) -> None:
     for place in range(40):
         machine.copy((0.01, 1.4, 0.6)[place % 3], ahead)
     assert machine.off_by() == pytest.approx(ahead, abs=0.05)
 
 
-def test_a_wall_clock_that_was_set_right_is_believed_with_the_first_copy(machine: Machine) -> None:
+def test_corrected_wall_clock_is_accepted_with_the_first_copy(machine: Machine) -> None:
     machine.wall_ahead = -3600.0
     assert machine.off_by() == 0.0
     machine.copy(0.01, -3600.0)
     assert machine.off_by() == pytest.approx(-3600.0, abs=0.05)
 
 
-def test_news_from_the_future_show_that_we_are_behind_unless_they_are_absurd(machine: Machine) -> None:
+def test_events_from_the_future_show_an_offset_unless_implausible(machine: Machine) -> None:
     machine.peers.happened(machine.clock.now() + 5000.0)
     assert machine.off_by() == pytest.approx(5.0)
     machine.peers.happened(2.0**63)
--- a/tests/test_policy_load.py
+++ b/tests/test_policy_load.py
@@ -11,20 +11,20 @@
 from stonecove.interface import Ended, Get, How, Note, Outcome, Refuse
 
 
-def test_a_crowded_cache_is_passed_over_in_hash_order(policy: PolicyHarness) -> None:
+def test_overloaded_cache_is_skipped_in_hash_order(policy: PolicyHarness) -> None:
     order = policy.routing_policy._caches.order(1)
     asked = [started_attempts(policy.request(key=1, size=600.0)) for _ in range(12)]
     used = [attempt[0].node for attempt in asked if attempt]
     assert used[0] == order[0] and used[-1] != order[0]
 
 
-def test_what_would_come_too_late_everywhere_is_refused_at_once(policy: PolicyHarness) -> None:
+def test_request_that_would_miss_its_deadline_everywhere_is_rejected_at_once(policy: PolicyHarness) -> None:
     answers = [policy.request(key=n, size=600.0)[0] for n in range(200)]
     assert isinstance(answers[-1], Refuse)
     assert started_attempts(policy.request(key=900, size=1.0))
 
 
-def test_with_a_crowded_link_the_home_is_only_looked_at() -> None:
+def test_with_an_overloaded_link_the_home_is_only_asked_for_a_cached_copy() -> None:
     policy = PolicyHarness(make_settings(weighted=True), [n._replace(weight=100.0) for n in make_endpoints()])
     asked = [started_attempts(policy.request(key=n, size=400.0))[0] for n in range(150)]
     assert asked[0].source in PARENTS
@@ -34,8 +34,8 @@
     assert isinstance(missed[-1], Refuse) and not started_attempts(missed)
 
 
-def test_a_link_whose_size_is_not_told_is_crowded_only_once_it_feels_slow() -> None:
-    """Its location may fill as many objects at once as come fast enough."""
+def test_link_of_unknown_capacity_is_overloaded_only_once_transfers_are_slow() -> None:
+    """Its zone may fill as many objects at once as arrive fast enough."""
     settings = make_settings(weighted=True, zone_link=(0.0, 0.0, 0.0))
     policy = PolicyHarness(settings, [n._replace(weight=500.0) for n in make_endpoints()])
     out = [started_attempts(policy.request(key=key, size=400.0))[0] for key in range(12)]
@@ -45,8 +45,8 @@
     assert look.source == look.node
 
 
-def test_slow_answers_from_one_cache_send_large_objects_on(policy: PolicyHarness) -> None:
-    """Others crowd the cache: this director has hardly any work there itself."""
+def test_slow_responses_from_one_cache_move_large_objects_to_the_next(policy: PolicyHarness) -> None:
+    """Other routers overload the cache: this one has hardly any requests there itself."""
     order = policy.routing_policy._caches.order(1)
     for _ in range(4):
         attempt = started_attempts(policy.request(key=1))[0]
@@ -57,7 +57,7 @@
     assert started_attempts(policy.request(key=1, size=600.0, wait=5000.0))[0].node == order[0]
 
 
-def test_a_share_of_a_link_has_room_for_chance_until_it_is_felt() -> None:
+def test_share_of_a_link_allows_for_variance_until_slowness_is_measured() -> None:
     alone, one_of_many = Load.of(20.0, 1.0, 100.0), Load.of(20.0, 0.05, 100.0)
     assert alone.room == 0.0 and alone.carries == 20.0
     one_of_many.out = 1
@@ -67,7 +67,7 @@
     assert one_of_many.pace(9000.0) < 1.01
 
 
-def test_a_pressed_origin_is_spared_for_some_and_asked_again_later(policy: PolicyHarness) -> None:
+def test_overloaded_origin_is_relieved_for_some_time_and_used_again_later(policy: PolicyHarness) -> None:
     for key in range(12):
         attempt: Get | None = started_attempts(policy.request(key=key, size=1.0))[0]
         while attempt:
@@ -85,7 +85,7 @@
     assert not any(attempt.how & How.HELD_ONLY for attempt in later[8:])
 
 
-def test_slow_fills_at_one_cache_are_blamed_on_it_and_not_on_the_link() -> None:
+def test_slow_fills_at_one_cache_are_attributed_to_it_and_not_to_the_link() -> None:
     policy = PolicyHarness(make_settings(weighted=True), [n._replace(weight=100.0) for n in make_endpoints()])
     slow = policy.routing_policy._caches.order(1)[0]
     for key in range(60):
@@ -95,8 +95,8 @@
     assert started_attempts(policy.request(key=1, size=600.0))[0].source in PARENTS
 
 
-def test_the_crowd_mark_is_lower_beside_many_directors() -> None:
-    """What others add while an answer is under way is not seen."""
+def test_overload_threshold_is_lower_beside_many_routers() -> None:
+    """The load that other routers add during a response is not visible."""
     alone = PolicyHarness(make_settings(zone_directors=(0, 1, 1)))
     beside = PolicyHarness(make_settings(zone_directors=(0, 40, 1), fleet=41))
     kept = []
@@ -108,11 +108,11 @@
     assert kept == [True, False]
 
 
-def test_what_a_link_of_untold_size_carries_is_learned_from_slow_fills() -> None:
-    """It bears as many fills as came at full pace, also when nothing was felt for a while."""
+def test_capacity_of_a_link_is_learned_from_slow_fills() -> None:
+    """It has capacity for as many fills as came at full speed, also after a while without slow transfers."""
     link = Load.of(0.0, 1.0, 100.0)
     link.learn(1, 3.0)
-    assert link.carries == math.inf  # one alone tells of no crowd
+    assert link.carries == math.inf  # a single transfer is no evidence of overload
     link.learn(30, 1.0)
     assert link.carries == math.inf
     for _ in range(40):
@@ -131,7 +131,7 @@
     assert out[0].source in PARENTS and out[-1].source == out[-1].node
 
 
-def test_caches_of_untold_size_are_not_thought_crowded_by_a_router_that_starts() -> None:
+def test_starting_router_does_not_take_caches_of_unknown_capacity_for_overloaded() -> None:
     policy = PolicyHarness(make_settings(zone_link=(0.0, 0.0, 0.0)))
     out = [started_attempts(policy.request(key=key, size=400.0)) for key in range(30)]
     assert all(out)
@@ -141,8 +141,8 @@
     assert 1.0 <= learned < math.inf
 
 
-def test_a_parent_whose_size_is_not_told_stays_the_source_until_it_feels_slow() -> None:
-    """Its objects meet there, whatever number of them is out at once."""
+def test_parent_of_unknown_capacity_stays_the_source_until_transfers_are_slow() -> None:
+    """Its objects are shared there, whatever number of fills is in flight."""
     nodes = [n._replace(weight=0.0 if n.kind == 1 else 500.0) for n in make_endpoints()]
     policy = PolicyHarness(make_settings(weighted=True, zone_link=(0.0, 0.0, 0.0)), nodes)
     for key in range(40):
@@ -152,7 +152,7 @@
     assert started_attempts(policy.request(key=39, size=400.0))[0].source != attempt.source
 
 
-def test_fills_from_a_crowded_parent_go_on_to_the_next_source() -> None:
+def test_fills_from_an_overloaded_parent_move_to_the_next_source() -> None:
     nodes = [n._replace(weight=4.0 if n.kind == 1 else 200.0) for n in make_endpoints()]
     policy = PolicyHarness(make_settings(weighted=True, zone_link=(0.0, 900_000.0, 0.0)), nodes)
     sources = [
--- a/tests/test_policy_outliers.py
+++ b/tests/test_policy_outliers.py
@@ -8,7 +8,7 @@
 from stonecove.interface import Due, Listed, ListKind, Note, Outcome
 
 
-def test_a_dead_cache_is_left_alone_and_tried_again_sparingly(policy: PolicyHarness) -> None:
+def test_failed_cache_is_ejected_and_tried_again_sparingly(policy: PolicyHarness) -> None:
     attempt = started_attempts(policy.request())[0]
     again = started_attempts(policy.end_attempt(attempt, Outcome.CONNECT_FAILED))[0]
     assert again.node != attempt.node
@@ -22,9 +22,7 @@
 
 
 @pytest.mark.parametrize("form", [ListKind.DELTA, ListKind.FULL])
-def test_a_cache_that_started_anew_is_not_blamed_for_what_ran_before(
-    policy: PolicyHarness, form: ListKind
-) -> None:
+def test_restarted_cache_is_not_ejected_for_earlier_failures(policy: PolicyHarness, form: ListKind) -> None:
     (attempt,) = started_attempts(policy.request())
     policy.end_attempt(attempt, Outcome.CONNECT_FAILED)
     assert not policy.routing_policy._cache_health[attempt.node].usable(policy.now)
@@ -33,7 +31,7 @@
     assert policy.routing_policy._cache_health[attempt.node].usable(policy.now)
 
 
-def test_a_silent_cache_is_noticed_within_a_few_attempts(policy: PolicyHarness) -> None:
+def test_unresponsive_cache_is_ejected_after_a_few_attempts(policy: PolicyHarness) -> None:
     silent = started_attempts(policy.request())[0]
     asked = [silent, *(started_attempts(policy.request())[0] for _ in range(2))]
     policy.now += 1500.0
@@ -43,7 +41,7 @@
     assert started_attempts(policy.request())[0].node != silent.node
 
 
-def test_a_slow_cache_that_answers_is_not_taken_for_a_silent_one(policy: PolicyHarness) -> None:
+def test_slow_cache_that_responds_is_not_ejected(policy: PolicyHarness) -> None:
     big = started_attempts(policy.request(size=2000.0))[0]
     small = [started_attempts(policy.request())[0] for _ in range(3)]
     policy.end_attempt(small[0], wait=1000.0, note=Note.FILLED)
@@ -52,7 +50,7 @@
     assert started_attempts(policy.request(size=1.0))[0].node == big.node
 
 
-def test_a_silent_source_is_told_from_its_caches(policy: PolicyHarness) -> None:
+def test_unresponsive_source_is_distinguished_from_its_caches(policy: PolicyHarness) -> None:
     first = started_attempts(policy.request(key=0))[0]
     stuck = [first]
     answering = []
--- a/tests/test_policy_placement.py
+++ b/tests/test_policy_placement.py
@@ -23,7 +23,7 @@
     return [Node(n + 1, 0, 0.0, NodeState.READY, 0, 1, weight) for n in range(count)]
 
 
-def test_shares_follow_the_weights() -> None:
+def test_shares_follow_the_endpoint_weights() -> None:
     listed = [*nodes(3), Node(9, 0, 0.0, NodeState.READY, 0, 1, 3.0)]
     homes = Counter(Ring(listed, True).order(key)[0] for key in range(6000))
     assert abs(homes[9] / 6000 - 0.5) < 0.03
@@ -31,14 +31,14 @@
     assert abs(flat[9] / 6000 - 0.25) < 0.03
 
 
-def test_a_node_that_goes_moves_only_its_own_objects() -> None:
+def test_removed_endpoint_moves_only_its_own_objects() -> None:
     before, after = Ring(nodes(8), True), Ring(nodes(7), True)
     for key in range(500):
         home = before.order(key)[0]
         assert home == 8 or after.order(key)[0] == home
 
 
-def test_all_directors_share_home_and_parent() -> None:
+def test_all_routers_choose_the_same_home_and_parent() -> None:
     one, two = PolicyHarness(), PolicyHarness(make_settings(zone=2))
     two.handle(Listed(ListKind.FULL, tuple(n._replace(zone=2) if n.kind == 0 else n for n in two.endpoints)))
     for key in range(50):
@@ -48,7 +48,7 @@
             assert first.source in PARENTS
 
 
-def test_the_parts_of_one_object_spread_over_the_caches_but_share_the_parent(policy: PolicyHarness) -> None:
+def test_parts_of_one_object_spread_over_the_caches_but_share_the_parent(policy: PolicyHarness) -> None:
     used = [started_attempts(policy.request(key=77, part=part, size=1.0))[0] for part in range(24)]
     assert {attempt.node for attempt in used} == set(CACHES)
     assert len({attempt.source for attempt in used}) == 1
@@ -59,7 +59,7 @@
     assert started_attempts(policy.request())[0].source == ORIGIN
 
 
-def test_a_hot_object_is_spread_and_a_rare_one_is_not(policy: PolicyHarness) -> None:
+def test_hot_object_is_spread_and_rare_one_is_not(policy: PolicyHarness) -> None:
     used: dict[int, set[int]] = {1: set(), 2: set()}
     for n in range(600):
         key = 2 if n % 50 == 0 else 1 if n % 2 else 1000 + n % 90
@@ -70,7 +70,7 @@
     assert len(used[1]) > 1 and len(used[2]) == 1
 
 
-def test_a_hot_film_is_spread_by_its_parts_and_no_part_twice(policy: PolicyHarness) -> None:
+def test_hot_object_is_spread_by_parts_and_each_part_stays_at_one_cache(policy: PolicyHarness) -> None:
     used: dict[int, set[int]] = {}
     out = started_attempts(policy.request(key=7, size=10.0))[0]
     for n in range(900):
@@ -83,7 +83,7 @@
     assert all(len(caches) == 1 for caches in used.values())
 
 
-def test_an_ageing_copy_is_renewed_behind_and_an_old_one_serves_only_a_repeat() -> None:
+def test_ageing_copy_is_revalidated_in_background_and_stale_one_serves_only_a_retry() -> None:
     policy = PolicyHarness(make_settings(make_class(fresh=1000.0, stale=3000.0)))
     attempt = started_attempts(policy.request())[0]
     assert attempt.age == 1000.0 and attempt.how & 8
--- a/tests/test_policy_popularity.py
+++ b/tests/test_policy_popularity.py
@@ -17,7 +17,7 @@
             popularity.note(n * 10.0, (n * n) % (n % 97 + 1), 100.0, 0)
 
 
-def test_the_top_set_is_kept_and_the_rest_passes() -> None:
+def test_popular_objects_are_cached_and_the_rest_are_not() -> None:
     popularity = Popularity(40_000.0)
     busy_day(popularity)
     assert popularity.rank(0) > 0
@@ -25,20 +25,20 @@
     assert popularity.rank(123_456_789) == 0
 
 
-def test_a_fresh_director_keeps_everything_at_the_lowest_rank() -> None:
+def test_new_policy_caches_everything_at_the_lowest_rank() -> None:
     popularity = Popularity(40_000.0)
     busy_day(popularity, FRESH_FOR - 1)
     assert popularity.rank(0) == popularity.rank(123_456_789) == 1
 
 
-def test_dense_objects_rank_higher() -> None:
+def test_objects_with_more_requests_per_size_rank_higher() -> None:
     popularity = Popularity(1e9)
     for n in range(3000):
         popularity.note(float(n), n % 30, 10.0 if n % 30 < 10 else 100.0 if n % 30 < 20 else 1000.0, 0)
     assert [popularity.rank(key) for key in (5, 15, 25)] == [3, 2, 1]
 
 
-def test_counts_age_with_time() -> None:
+def test_request_counts_decay_with_time() -> None:
     popularity = Popularity(1000.0)
     for n in range(400):
         popularity.note(float(n), 1, 100.0, 0)
@@ -47,7 +47,7 @@
     assert popularity.rank(1) == 0 and popularity.rank(11) > 0
 
 
-def test_the_table_is_bounded_and_evicted_requests_still_count() -> None:
+def test_table_is_bounded_and_evicted_requests_still_count() -> None:
     popularity = Popularity(1e9)
     for n in range(TABLE_MOST + 5000):
         popularity.note(0.0, n, 1.0, 0)
@@ -55,7 +55,7 @@
     assert popularity._total == TABLE_MOST + 5000
 
 
-def test_ties_are_settled_the_same_way_everywhere() -> None:
+def test_ties_are_broken_identically_everywhere() -> None:
     ranks = []
     for order in (range(300), reversed(range(300))):
         popularity = Popularity(1e12)
@@ -65,7 +65,7 @@
     assert ranks[0] == ranks[1]
 
 
-def test_half_life_is_a_multiple_of_the_warm_up() -> None:
+def test_half_life_is_a_multiple_of_the_slow_start_duration() -> None:
     routing_policy = Director(make_settings(warm_up=20_000.0), 1)
     assert routing_policy._popularity._half_life == HALF_LIFE * 20_000.0
     assert Request(1, 0, 1, 1.0, 1.0, 0, 0).part == 0
--- a/tests/test_policy_retries.py
+++ b/tests/test_policy_retries.py
@@ -7,7 +7,7 @@
 from stonecove.interface import Due, Note, Outcome
 
 
-def test_a_lost_answer_is_looked_for_where_it_was_sent(policy: PolicyHarness) -> None:
+def test_lost_response_is_requested_again_at_the_same_cache(policy: PolicyHarness) -> None:
     lost, other = started_attempts(policy.request(key=1))[0], started_attempts(policy.request(key=1))[0]
     policy.end_attempt(other, note=Note.HIT, wait=100.0)
     again = started_attempts(policy.handle(Due(lost.req), 500.0))
@@ -15,14 +15,14 @@
     assert policy.end_attempt(again[0], Outcome.MISS, attempt_index=1) == []  # the first may still come
 
 
-def test_a_crowd_gets_no_second_copies(policy: PolicyHarness) -> None:
+def test_overload_suppresses_hedged_requests(policy: PolicyHarness) -> None:
     stuck = started_attempts(policy.request(key=1))[0]
     for _ in range(8):
         policy.end_attempt(started_attempts(policy.request(key=1))[0], note=Note.HIT, wait=300.0)
     assert started_attempts(policy.handle(Due(stuck.req))) == []
 
 
-def test_a_failed_source_is_not_used_again_for_the_request(policy: PolicyHarness) -> None:
+def test_failed_source_is_not_used_again_for_the_request(policy: PolicyHarness) -> None:
     attempt = started_attempts(policy.request())[0]
     again = started_attempts(policy.end_attempt(attempt, Outcome.ERROR, note=Note.SOURCE_BROKE))[0]
     assert again.source != attempt.source
@@ -32,7 +32,7 @@
     assert last.source == ORIGIN
 
 
-def test_retries_are_bounded(policy: PolicyHarness) -> None:
+def test_retry_budget_bounds_the_attempts(policy: PolicyHarness) -> None:
     sent = 0
     for n in range(300):
         attempt = started_attempts(policy.request(key=n))
--- a/tests/test_policy_robustness.py
+++ b/tests/test_policy_robustness.py
@@ -13,13 +13,13 @@
 from stonecove.interface import Due, Ended, Listed, ListKind, Node, NodeState, Outcome, Refuse
 
 
-def test_odd_requests_are_answered(policy: PolicyHarness) -> None:
+def test_malformed_requests_are_answered(policy: PolicyHarness) -> None:
     assert policy.request(kind=9) == [Refuse(1, 0.0, "class")]
     assert len(policy.request(grace=0.0)) == 1
     assert started_attempts(policy.request(size=0.0)) and started_attempts(policy.request(part=-1, group=-4))
 
 
-def test_odd_events_are_passed_over(policy: PolicyHarness) -> None:
+def test_unexpected_events_are_ignored(policy: PolicyHarness) -> None:
     assert policy.handle(Ended(99, 0, 1, Outcome.OK, 1.0, True, 0, 0.0, ())) == []
     attempt = started_attempts(policy.request())[0]
     assert policy.end_attempt(attempt, attempt_index=7) == []
@@ -28,7 +28,7 @@
     assert policy.handle(Due(12345)) == []
 
 
-def test_odd_lists_are_borne() -> None:
+def test_empty_and_inconsistent_endpoint_lists_are_tolerated() -> None:
     policy = PolicyHarness(nodes=[])
     assert isinstance(policy.request()[0], Refuse)
     entries = make_endpoints()
@@ -37,7 +37,7 @@
     assert started_attempts(policy.request())[0].node in CACHES
 
 
-def test_a_fleet_of_one_with_no_figures_still_works() -> None:
+def test_single_router_without_capacity_settings_works() -> None:
     settings = make_settings(
         fleet=0,
         zone_directors=(),
@@ -51,7 +51,7 @@
     assert started_attempts(policy.request())
 
 
-def test_missing_classes_are_named() -> None:
+def test_missing_classes_are_named_in_the_error() -> None:
     with pytest.raises(ValueError, match="classes"):
         Director(
             make_settings().__class__(
@@ -84,7 +84,7 @@
 """
 
 
-def test_the_same_events_give_the_same_actions() -> None:
+def test_same_events_give_the_same_actions() -> None:
     outputs = set()
     for seed in ("0", "1", "77"):
         done = subprocess.run(
@@ -98,8 +98,8 @@
     assert len(outputs) == 1 and outputs.pop().startswith("True")
 
 
-def test_nothing_is_kept_of_nodes_that_left(policy: PolicyHarness) -> None:
-    """Guards against memory that grows with every cache that ever was, and counts that end on a wrong one."""
+def test_state_of_removed_endpoints_is_dropped(policy: PolicyHarness) -> None:
+    """Memory does not grow with former endpoints, and late events are not counted for another one."""
     routing_policy = policy.routing_policy
     for node in range(1000, 1100):
         fresh = Node(node, 0, 0.0, NodeState.READY, 0, 1, 1.0)
@@ -126,7 +126,7 @@
     assert min(load.out for load in routing_policy._loads.values()) >= 0
 
 
-def test_copies_that_are_too_old_are_forgotten(policy: PolicyHarness) -> None:
+def test_records_of_old_copies_are_dropped(policy: PolicyHarness) -> None:
     for key in range(2000):
         policy.end_attempt(started_attempts(policy.request(key=key, size=1.0, wait=20.0))[0])
     kept = len(policy.routing_policy._copies)
--- a/tests/test_purges.py
+++ b/tests/test_purges.py
@@ -14,7 +14,7 @@
 @pytest.mark.parametrize(
     "kind, name", [(3, struct.pack(">Q", 0x7F3A9C21E0B4D655)), (4, struct.pack(">H", 17))]
 )
-def test_no_copy_older_than_a_purge(router: RouterHarness, kind: int, name: bytes) -> None:
+def test_purge_limits_the_age_of_accepted_copies(router: RouterHarness, kind: int, name: bytes) -> None:
     client = router.connect()
     client.send_request()
     router.next_command().reply()
@@ -34,7 +34,7 @@
     router.wait_until(asked, "the purge")
 
 
-def test_an_answer_that_is_older_than_the_purge_it_was_asked_after(router: RouterHarness) -> None:
+def test_response_older_than_the_purge_is_not_forwarded(router: RouterHarness) -> None:
     client, moment = router.connect(), int(time.time() * 1000)
     router.change_log.send_event(2, 4, struct.pack(">HQ", 17, moment))
     router.change_log.send_event(3, 2, router.endpoint_record(router.caches[0], 0))
@@ -45,7 +45,7 @@
     assert client.read_response().body == b"new"
 
 
-def test_a_clock_that_is_set_back_stops_no_timer_and_hides_no_purge(tmp_path: Path) -> None:
+def test_wall_clock_set_back_stops_no_timer_and_hides_no_purge(tmp_path: Path) -> None:
     flag = tmp_path / "set-back"
     tmp_path.joinpath("sitecustomize.py").write_text(
         "import os, time\nreal = time.time\n"
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -1,4 +1,4 @@
-"""Races on real sockets: what crosses is forced to, by events, paused peers and connections held back."""
+"""Race conditions on real sockets, forced by events, paused peers and connections held back."""
 
 from __future__ import annotations
 
@@ -38,13 +38,13 @@
 
 
 def wait_for_decisions(client: FastCgiClient) -> None:
-    """Returns once what was sent before has been decided: each round takes the router a turn of its loop."""
+    """Returns once earlier requests are decided: each round takes a turn of the router's event loop."""
     for _ in range(5):
         assert client.request(request_id=9, path="/status/live").status == 200
 
 
 def refuses_connections(router: RouterHarness) -> bool:
-    """Whether the router takes no new connection."""
+    """Whether the router refuses a new connection."""
     try:
         router.connect().sock.close()
     except ConnectionRefusedError:
@@ -53,7 +53,7 @@
 
 
 class HealthHandler:
-    """A handler that answers whatever it is asked."""
+    """A session handler that answers every request with 200."""
 
     def __init__(self) -> None:
         self.asked = 0
@@ -66,25 +66,25 @@
         return True
 
     def aborted(self, connection: Session, ident: int) -> None:
-        """Nothing is out."""
+        """No attempt is in flight."""
 
     def gone(self, connection: Session, ident: int) -> None:
-        """Nothing is out."""
+        """No attempt is in flight."""
 
 
 def connections_to(unresponsive: UnresponsiveAddress) -> int:
-    """How many connections the router has under way there; two more are the fillers."""
+    """The connections of the router to this address, without the two fillers."""
     rows = [line.split() for line in Path("/proc/net/tcp").read_text().splitlines()[1:]]
     return sum(int(row[2].split(":")[1], 16) == unresponsive.port and row[3] != TIME_WAIT for row in rows) - 2
 
 
-# -- clients that leave --
+# -- client disconnects --
 
 
-def test_what_waits_for_a_connection_is_not_sent_once_the_client_left(
+def test_pending_attempt_is_not_sent_after_client_disconnect(
     start_router: Callable[..., RouterHarness],
 ) -> None:
-    """Also where nothing may be cancelled: what was never sent needs no cancelling."""
+    """Also where cancellation is not allowed: an attempt that was not sent needs none."""
     router = start_router(limits=limits(connect_timeout=28_000.0, conn_idle=600_000.0, cancel=False))
     unresponsive, (slow, other) = UnresponsiveAddress(), router.caches
     router.change_log.send_event(
@@ -107,7 +107,7 @@
 
 
 @pytest.mark.parametrize("how", ["abort", "close"])
-def test_a_client_that_is_being_left_is_still_seen_to_leave(
+def test_disconnect_of_a_client_being_closed_is_noticed(
     start_router: Callable[..., RouterHarness], how: str
 ) -> None:
     router = start_router()
@@ -125,8 +125,8 @@
     assert router.next_command("abort").request_id == fetch.request_id
 
 
-def test_a_connection_with_a_request_unread_is_not_retired() -> None:
-    """The request arrives in the very moment in which the connection, so far at rest, is to be ended."""
+def test_connection_with_an_unread_request_is_not_retired() -> None:
+    """The request arrives at the moment in which the idle connection is to be closed."""
 
     async def cross() -> None:
         ours, theirs = socket.socketpair()
@@ -160,10 +160,10 @@
 # -- discovery --
 
 
-def test_the_watch_comes_back_while_idle_clients_fill_all_places(
+def test_watch_reconnects_while_idle_clients_use_all_connections(
     start_router: Callable[..., RouterHarness],
 ) -> None:
-    """The limits leave a reserve: places for clients, connections to caches and our own fit in together."""
+    """The limits leave a reserve: client, cache and own connections fit in together."""
     router = start_router(sockets=64, descriptors=64)  # of which clients get 32
     busy = [router.connect() for _ in range(8)]
     for client in busy:
@@ -183,9 +183,9 @@
         client.sock.close()
 
 
-def test_a_fleet_that_lost_its_change_log_does_not_come_back_in_step() -> None:
+def test_routers_reconnect_to_a_lost_change_log_with_jitter() -> None:
     def lost_at(seed: int) -> list[float]:
-        """When a router of that seed finds out again and again that nobody is there."""
+        """The times at which a router of that seed fails to connect."""
         times: list[float] = []
 
         async def follow() -> None:
@@ -214,7 +214,7 @@
 # -- shutdown --
 
 
-def test_a_request_that_is_half_sent_at_the_end_of_the_grace_is_answered(
+def test_partially_received_request_is_answered_after_the_grace_period(
     start_router: Callable[..., RouterHarness],
 ) -> None:
     router = start_router()
@@ -229,7 +229,7 @@
     assert router.process.wait(TEST_TIMEOUT) == 0
 
 
-def test_a_connection_at_rest_is_half_closed_at_the_stop_and_not_reset(
+def test_idle_connection_is_half_closed_at_shutdown_and_not_reset(
     start_router: Callable[..., RouterHarness],
 ) -> None:
     router = start_router()
@@ -243,10 +243,10 @@
     assert router.process.wait(TEST_TIMEOUT) == 0 and router.commands.empty()
 
 
-def test_what_still_waits_to_be_accepted_at_the_stop_is_answered(
+def test_unaccepted_connections_are_answered_at_shutdown(
     start_router: Callable[..., RouterHarness],
 ) -> None:
-    """All places stay taken until the last moment, so nobody who waits was accepted before."""
+    """The connection limit is reached until the last moment, so no waiting client was accepted before."""
     router = start_router(sockets=16)  # of which clients get 8
     held = [router.connect() for _ in range(8)]
     for client in held:
@@ -263,7 +263,7 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGTERM])
-def test_a_signal_during_the_start_is_kept_until_all_is_up(
+def test_signal_during_startup_is_handled_once_ready(
     start_router: Callable[..., RouterHarness], tmp_path: Path, number: signal.Signals
 ) -> None:
     router = start_router()
@@ -287,7 +287,7 @@
     assert router.log_lines("ready") and router.log_lines(word)
 
 
-def test_a_router_that_stops_does_not_call_itself_live(start_router: Callable[..., RouterHarness]) -> None:
+def test_stopping_router_does_not_report_itself_live(start_router: Callable[..., RouterHarness]) -> None:
     router = start_router()
     client = router.connect()
     whole = client.encode_request(path="/status/live")
@@ -298,7 +298,9 @@
     assert client.read_response().status == 503
 
 
-def test_a_waiting_repeat_is_not_sent_after_its_window(start_router: Callable[..., RouterHarness]) -> None:
+def test_pending_retry_is_not_sent_after_its_deduplication_window(
+    start_router: Callable[..., RouterHarness],
+) -> None:
     window = 700.0
     classes = [{**cls, "effect": "token", "group": "all", "window": window} for cls in SETTINGS["classes"]]
     router = start_router(classes=classes, limits=limits(connect_timeout=28_000.0, conn_idle=600_000.0))
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -6,7 +6,7 @@
 import pytest
 
 
-def test_example_runs(capsys: pytest.CaptureFixture[str]) -> None:
+def test_readme_example_runs_as_shown(capsys: pytest.CaptureFixture[str]) -> None:
     text = Path(__file__).parent.parent.joinpath("README.md").read_text()
     code = re.search(r"```python\n(.*?)```", text, re.S)
     assert code is not None
--- a/tests/test_request_validation.py
+++ b/tests/test_request_validation.py
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize("key", [None, "", "a,from=s-1", "a b", "a" * 129])
-def test_a_keyed_request_without_a_usable_key_is_told_so(
+def test_request_without_valid_idempotency_key_is_rejected(
     keyed_router: RouterHarness, key: str | None
 ) -> None:
     client = keyed_router.connect()
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize(
-    "what, status",
+    "parameters, status",
     [
         ({"X_TXN": None}, 400),
         ({"X_TXN": "a,from=s-1"}, 400),
@@ -47,9 +47,11 @@
         ({"X_FILL": "y" * 40_000}, 413),
     ],
 )
-def test_a_bad_request_is_told_so(router: RouterHarness, what: dict[str, Any], status: int) -> None:
+def test_invalid_request_is_rejected_with_its_status(
+    router: RouterHarness, parameters: dict[str, Any], status: int
+) -> None:
     client = router.connect()
-    assert client.request(**what).status == status
+    assert client.request(**parameters).status == status
     assert router.log_lines("bad-request")
     client.send_request(2)
     router.next_command().reply()
@@ -57,7 +59,7 @@
 
 
 @pytest.mark.parametrize("kind, status", [(4, 413), (5, 413)])
-def test_what_never_ends_is_answered_before_its_end(router: RouterHarness, kind: int, status: int) -> None:
+def test_oversized_request_is_answered_before_its_end(router: RouterHarness, kind: int, status: int) -> None:
     client = router.connect()
     client.sock.sendall(
         client.encode_request()[:-8].replace(fastcgi_record(4, 1), b"" if kind == 4 else fastcgi_record(4, 1))
@@ -66,8 +68,8 @@
     assert client.read_response()[:2] == (1, status)
 
 
-def test_the_id_of_an_open_request_is_not_taken_again(router: RouterHarness) -> None:
-    """Guards against an answer that goes to the wrong one of the two."""
+def test_id_of_an_open_request_is_rejected(router: RouterHarness) -> None:
+    """Rejected because a response with that id could go to the wrong one of the two."""
     client, other = router.connect(), router.connect()
     client.send_request(X_TXN="9b1f03aa5c7e2d41")
     fetch = router.next_command()
@@ -80,11 +82,11 @@
 
 
 @pytest.mark.parametrize("pause", [0.0, 0.005])
-def test_a_client_that_is_turned_away_again_and_again_is_left(router: RouterHarness, pause: float) -> None:
-    """What it had open before is answered first, though it goes on sending.
+def test_client_with_too_many_invalid_requests_is_disconnected(router: RouterHarness, pause: float) -> None:
+    """Its open request is answered first, although it continues to send.
 
-    What comes behind the last that is turned away by itself is refused by the protocol; how much that is
-    depends on how the bytes come in, but for requests that come one by one.
+    Requests after the last one that gets a response of its own are rejected with a protocol status. How many
+    these are depends on how the bytes arrive, except for requests that arrive one by one.
     """
     client = router.connect()
     client.send_request(1)
@@ -102,8 +104,8 @@
     ends = [
         (response.status, response.protocol_status) for response in responses if response.body != b"first"
     ]
-    turned_away = ends.count((404, 0))
-    assert ends == [(404, 0)] * turned_away + [(0, OVERLOADED)] * (len(ends) - turned_away)
+    rejected = ends.count((404, 0))
+    assert ends == [(404, 0)] * rejected + [(0, OVERLOADED)] * (len(ends) - rejected)
     if pause:
-        assert (turned_away, len(ends)) == (MOST_TURNED_AWAY + 1, 23)
-    assert turned_away > MOST_TURNED_AWAY
+        assert (rejected, len(ends)) == (MOST_TURNED_AWAY + 1, 23)
+    assert rejected > MOST_TURNED_AWAY
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize(
-    "word, what, again",
+    "status, parameters, retried",
     [
         ("404", {}, True),
         ("503", {}, True),
@@ -24,14 +24,14 @@
         ("500", WRITE_REQUEST, False),
     ],
 )
-def test_only_what_never_ran_or_does_no_harm_goes_out_again(
-    router: RouterHarness, word: str, what: dict[str, Any], again: bool
+def test_only_unexecuted_or_idempotent_requests_are_retried(
+    router: RouterHarness, status: str, parameters: dict[str, Any], retried: bool
 ) -> None:
     client = router.connect()
-    client.send_request(**what)
+    client.send_request(**parameters)
     first = router.next_command()
-    first.reply(word, tell="")
-    if again:
+    first.reply(status, tell="")
+    if retried:
         second = router.next_command()
         assert second.request_id == first.request_id and second.cache is not first.cache
         second.reply(body=b"ok")
@@ -41,12 +41,12 @@
         assert router.commands.empty()
 
 
-@pytest.mark.parametrize("what, status", [({}, 200), (WRITE_REQUEST, FAILED_STATUS)])
-def test_a_connection_that_breaks_may_have_run_what_was_on_it(
-    router: RouterHarness, what: dict[str, Any], status: int
+@pytest.mark.parametrize("parameters, status", [({}, 200), (WRITE_REQUEST, FAILED_STATUS)])
+def test_broken_connection_counts_as_possibly_executed(
+    router: RouterHarness, parameters: dict[str, Any], status: int
 ) -> None:
     client = router.connect()
-    client.send_request(**what)
+    client.send_request(**parameters)
     fetch = router.next_command()
     fetch.sock.shutdown(2)
     if status == 200:
@@ -55,7 +55,7 @@
     assert router.commands.empty()
 
 
-def test_a_refused_connection_proves_that_nothing_ran(router: RouterHarness) -> None:
+def test_refused_connection_counts_as_not_executed(router: RouterHarness) -> None:
     client = router.connect()
     client.send_request(**WRITE_REQUEST)
     home = router.next_command()
@@ -68,7 +68,7 @@
         assert client.read_response().status == 200
 
 
-def test_a_connection_that_never_comes_up_proves_that_nothing_ran(router: RouterHarness) -> None:
+def test_connection_timeout_counts_as_not_executed(router: RouterHarness) -> None:
     unresponsive, client = UnresponsiveAddress(), router.connect()
     router.change_log.send_event(2, 2, router.endpoint_record(router.caches[0], 0, port=unresponsive.port))
     router.wait_until(lambda: len(router.log_lines("node")) == 5, "the change")
@@ -80,19 +80,19 @@
     unresponsive.close()
 
 
-def test_given_up_at_once_when_nothing_is_left_to_try(router: RouterHarness) -> None:
+def test_request_is_rejected_at_once_when_no_cache_is_reachable(router: RouterHarness) -> None:
     client = router.connect()
     for cache in router.caches:
         cache.listener.close()
     assert is_rejection(client.request(X_TTL_MS="3600000"))
 
 
-@pytest.mark.parametrize("what, refused", [({}, True), (WRITE_REQUEST, False)])
-def test_a_silent_cache_is_answered_for_when_time_is_up(
-    router: RouterHarness, what: dict[str, Any], refused: bool
+@pytest.mark.parametrize("parameters, refused", [({}, True), (WRITE_REQUEST, False)])
+def test_unresponsive_cache_is_answered_for_at_the_deadline(
+    router: RouterHarness, parameters: dict[str, Any], refused: bool
 ) -> None:
     client = router.connect()
-    response = client.request(X_TTL_MS="300", **what)
+    response = client.request(X_TTL_MS="300", **parameters)
     assert is_rejection(response) if refused else response.status == FAILED_STATUS
     fetch = router.next_command()
     assert router.next_command("abort").request_id == fetch.request_id
@@ -103,8 +103,8 @@
     assert (response.request_id, response.body) == (2, b"in time")
 
 
-def test_a_connection_reset_while_new_is_no_word_of_its_cache(router: RouterHarness) -> None:
-    """What was not written goes by another connection: a write too, for it surely did not run."""
+def test_reset_of_an_unused_connection_does_not_count_against_the_cache(router: RouterHarness) -> None:
+    """A request that was not sent is retried on another connection, a write as well: it was not executed."""
     client, home = router.connect(), router.caches[0]
     router.change_log.send_event(2, 2, router.endpoint_record(router.caches[1], 2))
     router.wait_until(lambda: len(router.log_lines("node")) == 5, "only one cache is left")
@@ -118,8 +118,8 @@
     assert len(home.listener.accepted) == 4 and not router.log_lines("policy")
 
 
-def test_a_connection_that_breaks_now_and_then_ejects_no_cache(router: RouterHarness) -> None:
-    """Each break is made good at the same cache, and takes nothing from what others may try again."""
+def test_occasional_connection_loss_does_not_eject_the_cache(router: RouterHarness) -> None:
+    """Each loss is retried at the same cache and does not use the retry budget."""
     client = router.connect()
     for _ in range(40):  # more than the budget for further attempts would bear
         client.send_request()
@@ -132,8 +132,8 @@
     assert not router.log_lines("policy")
 
 
-def test_one_broken_connection_ejects_no_cache(router: RouterHarness) -> None:
-    """All that was on it is asked for again at the same cache, which holds it by now."""
+def test_simultaneous_connection_loss_does_not_eject_the_cache(router: RouterHarness) -> None:
+    """All requests are retried at the same cache, which has the object cached by now."""
     client = router.connect()
     for ident in range(1, 4):
         client.send_request(ident)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The five rules, each with a test that fails when its guard is taken out."""
+"""The five invariants of the policy, each with a test that fails without the check for it."""
 
 from __future__ import annotations
 
@@ -35,10 +35,10 @@
 FINAL = (Refuse, Fail)
 
 
-# -- 1. one final answer --
+# -- 1. one final response --
 
 
-def test_timeout_at_the_deadline_is_answered_once(policy: PolicyHarness) -> None:
+def test_timeout_at_the_deadline_gives_one_final_response(policy: PolicyHarness) -> None:
     attempt = started_attempts(policy.request())[0]
     actions = policy.end_attempt(attempt, Outcome.TIMEOUT, 4000.0)
     assert [type(a) for a in actions if isinstance(a, FINAL)] == [Refuse]
@@ -46,20 +46,20 @@
     assert policy.handle(Left(attempt.req)) == []
 
 
-def test_nothing_goes_out_after_the_final_answer(policy: PolicyHarness) -> None:
+def test_no_attempt_starts_after_the_final_response(policy: PolicyHarness) -> None:
     attempt = started_attempts(policy.request())[0]
     policy.handle(Left(attempt.req))
     assert policy.handle(Due(attempt.req), 2000.0) == []
     assert policy.end_attempt(attempt, Outcome.CANCELLED, closed=True) == []
 
 
-def test_no_second_copy_goes_out_at_the_deadline(policy: PolicyHarness) -> None:
+def test_no_hedged_request_starts_at_the_deadline(policy: PolicyHarness) -> None:
     asked = [started_attempts(policy.request(key=1))[0] for _ in range(3)]
     policy.now += 4500.0
     assert not any(started_attempts(policy.handle(Due(attempt.req))) for attempt in asked)
 
 
-def test_answer_calls_off_the_second_copy(policy: PolicyHarness) -> None:
+def test_response_cancels_the_hedged_request(policy: PolicyHarness) -> None:
     first = started_attempts(policy.request(key=1))[0]
     other = started_attempts(policy.request(key=1))[0]
     assert first.node == other.node
@@ -70,7 +70,7 @@
     assert [(a.req, a.attempt) for a in actions] == [(other.req, 0)]  # type: ignore[union-attr]
 
 
-def test_no_more_attempts_than_allowed() -> None:
+def test_attempts_do_not_exceed_the_limit() -> None:
     policy = PolicyHarness(make_settings(most_attempts=2))
     first = started_attempts(policy.request())[0]
     second = started_attempts(policy.end_attempt(first, Outcome.CONNECT_FAILED))[0]
@@ -78,14 +78,14 @@
     assert isinstance(last[-1], Refuse) and not started_attempts(last)
 
 
-def test_pause_is_told_where_it_is_passed_on() -> None:
+def test_retry_after_is_set_where_it_is_allowed() -> None:
     for allowed, least, most in ((True, 400.0, 900.0), (False, 0.0, 0.0)):
         policy = PolicyHarness(make_settings(may_pause=allowed), nodes=[])
         pauses = [act.pause for _ in range(20) for act in policy.request() if isinstance(act, Refuse)]
         assert len(pauses) == 20 and least <= min(pauses) and max(pauses) <= most
 
 
-# -- 2. no effect twice --
+# -- 2. no side effect twice --
 
 
 def policy_with_idempotency_key(**changes: object) -> PolicyHarness:
@@ -93,7 +93,7 @@
     return PolicyHarness(make_settings(cls))
 
 
-def test_unsafe_work_is_retried_only_when_it_surely_did_not_run() -> None:
+def test_non_idempotent_request_is_retried_only_when_certainly_not_executed() -> None:
     for outcome, again in ((Outcome.FULL, True), (Outcome.RESET, False), (Outcome.ERROR, False)):
         policy = PolicyHarness(make_settings(make_class(effect=Effect.UNSAFE)))
         actions = policy.end_attempt(started_attempts(policy.request())[0], outcome)
@@ -101,14 +101,14 @@
         assert again or isinstance(actions[-1], Fail)
 
 
-def test_keyed_work_is_not_resent_after_its_window() -> None:
+def test_request_with_key_is_not_retried_after_its_deduplication_window() -> None:
     for wait, again in ((1500.0, True), (2500.0, False)):
         policy = policy_with_idempotency_key()
         actions = policy.end_attempt(started_attempts(policy.request())[0], Outcome.RESET, wait)
         assert bool(started_attempts(actions)) is again
 
 
-def test_the_window_counts_from_the_first_attempt_that_may_have_run() -> None:
+def test_deduplication_window_starts_with_the_first_attempt_that_may_have_run() -> None:
     policy = policy_with_idempotency_key()
     asked = [started_attempts(policy.request(key=1))[0] for _ in range(2)]
     policy.handle(Due(asked[0].req), 1200.0)
@@ -127,7 +127,7 @@
         ("pure", "all", (Effect.SAFE, KeyGroup.ALL)),
     ],
 )
-def test_what_the_settings_do_not_tell_of_a_class_is_taken_as_unsafe(
+def test_unspecified_idempotency_is_taken_as_none(
     effect: str | None, group: str | None, taken: tuple[Effect, KeyGroup]
 ) -> None:
     entry = {"deadline": 900.0, "effect": effect, "group": group}
@@ -136,7 +136,7 @@
     assert (cls.effect, cls.group) == taken
 
 
-def test_a_keyed_repeat_is_to_begin_within_its_window() -> None:
+def test_retry_with_key_must_start_within_the_deduplication_window() -> None:
     policy = PolicyHarness(make_settings(make_class(effect=Effect.KEYED, window=300.0)))
     (first,) = started_attempts(policy.request())
     assert first.begin_by == math.inf
@@ -144,7 +144,7 @@
     assert second.begin_by == policy.now - 100.0 + 300.0
 
 
-def test_keyed_work_stays_within_its_cell() -> None:
+def test_request_with_key_is_retried_only_within_its_cell() -> None:
     policy = policy_with_idempotency_key(group=KeyGroup.CELL)
     attempt = started_attempts(policy.request())[0]
     again = started_attempts(policy.end_attempt(attempt, Outcome.RESET))
@@ -153,7 +153,7 @@
     assert isinstance(last[-1], Fail)
 
 
-def test_no_second_copy_where_none_is_allowed() -> None:
+def test_no_hedged_request_where_hedging_is_not_allowed() -> None:
     policy = PolicyHarness(make_settings(second_copies=False))
     asked = [started_attempts(policy.request(key=1))[0] for _ in range(3)]
     policy.handle(Due(asked[0].req), 1500.0)
@@ -164,7 +164,7 @@
 
 
 @pytest.mark.parametrize("state", [NodeState.DRAINING, NodeState.GONE])
-def test_nothing_new_goes_to_a_leaving_node(state: NodeState) -> None:
+def test_no_new_attempt_at_a_draining_or_removed_endpoint(state: NodeState) -> None:
     policy = PolicyHarness()
     attempt = started_attempts(policy.request())[0]
     policy.update_endpoint(attempt.node, state=state)
@@ -176,20 +176,20 @@
     assert again and again[0].node != attempt.node and again[0].source != attempt.source
 
 
-def test_a_node_missing_from_a_full_list_is_gone(policy: PolicyHarness) -> None:
+def test_endpoint_missing_from_a_full_list_is_removed(policy: PolicyHarness) -> None:
     policy.handle(Listed(ListKind.FULL, tuple(n for n in policy.endpoints if n.node != CACHES[0])))
     assert all(started_attempts(policy.request(key=key))[0].node != CACHES[0] for key in range(100))
 
 
-def test_a_failed_list_call_changes_nothing(policy: PolicyHarness) -> None:
+def test_failed_list_update_changes_nothing(policy: PolicyHarness) -> None:
     policy.handle(Listed(ListKind.FAILED, ()))
     assert started_attempts(policy.request())
 
 
-# -- 4. cold nodes --
+# -- 4. slow start --
 
 
-def test_a_cold_cache_gets_no_more_than_its_budget() -> None:
+def test_cache_in_slow_start_stays_within_its_budget() -> None:
     settings = make_settings()
     policy = PolicyHarness(settings)
     for node in CACHES[1:]:
@@ -206,8 +206,8 @@
 
 
 @pytest.mark.parametrize("fleet", [3, 30, 200])
-def test_all_routers_together_stay_within_a_cold_caches_budget(fleet: int) -> None:
-    """Each keeps to its share, also when some get ten times the traffic of others."""
+def test_all_routers_together_stay_within_a_slow_start_budget(fleet: int) -> None:
+    """Each keeps to its quota, also when some get ten times the traffic of others."""
     cold = CACHES[0]
     nodes = [n._replace(started=100_000.0) if n.node == cold else n for n in make_endpoints()]
     nodes = [n for n in nodes if n.node == cold or n.node not in CACHES]  # all that is asked could go there
@@ -230,7 +230,7 @@
     assert sent > 0 or fleet > 3
 
 
-def test_a_cold_parent_gets_no_more_than_its_budget() -> None:
+def test_parent_in_slow_start_stays_within_its_budget() -> None:
     settings = make_settings()
     policy = PolicyHarness(settings)
     policy.update_endpoint(PARENTS[0], started=policy.now)
@@ -245,7 +245,7 @@
     assert sources.count(PARENTS[1]) > sources.count(PARENTS[0])
 
 
-def test_a_node_long_started_is_warm(policy: PolicyHarness) -> None:
+def test_endpoint_started_long_ago_is_not_in_slow_start(policy: PolicyHarness) -> None:
     policy.update_endpoint(PARENTS[0], started=policy.now - 60_000.0)
     sources = {started_attempts(policy.request(key=n))[0].source for n in range(60)}
     assert sources == set(PARENTS)
@@ -254,7 +254,7 @@
 # -- 5. purges --
 
 
-def test_no_copy_older_than_a_purge_will_do(policy: PolicyHarness) -> None:
+def test_no_copy_older_than_a_purge_is_accepted(policy: PolicyHarness) -> None:
     assert started_attempts(policy.request(key=9))[0].age == 0.0
     held = started_attempts(policy.request(key=9))[0]
     policy.handle(Purged(200.0, 0, 9), 1.0)
@@ -264,13 +264,13 @@
     assert 0 < again.age < 252.0
 
 
-def test_a_purge_of_a_group_covers_its_objects(policy: PolicyHarness) -> None:
+def test_purge_of_a_group_covers_its_objects(policy: PolicyHarness) -> None:
     policy.handle(Purged(0.0, 3, 0))
     assert 0 < started_attempts(policy.request(key=4, wait=0.0))[0].age < 1.0
     assert started_attempts(policy.request(key=4, group=2))[0].age == 0.0
 
 
-def test_the_youngest_purge_counts_and_is_forgotten_in_time(policy: PolicyHarness) -> None:
+def test_latest_purge_counts_and_expires(policy: PolicyHarness) -> None:
     policy.handle(Purged(0.0, 0, 9))
     policy.handle(Purged(300.0, 0, 9), 100.0)
     assert started_attempts(policy.request(key=9, wait=0.0))[0].age < 100.1
@@ -278,24 +278,24 @@
     assert started_attempts(policy.request(key=9, wait=10_000.0))[0].age == 0.0
 
 
-def test_the_class_limit_still_caps_the_age() -> None:
+def test_class_freshness_still_limits_the_age_after_a_purge() -> None:
     policy = PolicyHarness(make_settings(make_class(fresh=1000.0, stale=3000.0)))
     policy.handle(Purged(0.0, 0, 9))
     assert started_attempts(policy.request(key=9, wait=3000.0))[0].age == 1000.0
 
 
-def test_many_purges_take_bounded_memory(policy: PolicyHarness) -> None:
+def test_purge_history_is_bounded(policy: PolicyHarness) -> None:
     for n in range(20_000):
         policy.handle(Purged(0.0, 0, n + 1), 10.0)
     assert len(policy.routing_policy._purges._moments) < 3000
 
 
-def test_work_that_is_never_kept_goes_to_the_origin_unkept() -> None:
+def test_uncacheable_request_is_filled_from_origin_and_not_cached() -> None:
     policy = policy_with_idempotency_key()
     attempt = started_attempts(policy.request())[0]
     assert attempt.source == ORIGIN and attempt.keep == 0
 
 
-def test_list_made_of_nothing_but_origins_refuses() -> None:
+def test_endpoint_list_of_only_origins_rejects_requests() -> None:
     policy = PolicyHarness(nodes=make_endpoints()[-1:])
     assert isinstance(policy.request()[0], Refuse)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""Large fleets, thin shares and odd lists: nothing raises, every request gets its one answer."""
+"""Large fleets, small quotas and inconsistent endpoint lists: every request gets one final response."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def request_and_answer_each(policy: PolicyHarness, requests: int) -> list[Get]:
-    """Asks so many times; every request is sent, refused or failed at once."""
+    """Makes this many requests, each answered at once; every one starts an attempt, is rejected or fails."""
     sent = []
     for key in range(requests):
         actions = policy.request(key=key)
@@ -36,7 +36,7 @@
     return sent
 
 
-def test_hundreds_of_nodes_and_directors() -> None:
+def test_hundreds_of_endpoints_and_routers() -> None:
     nodes = [Node(n + 1, 0, 0.0, READY, n, n % 40, 1.0) for n in range(400)]
     nodes += [Node(1000 + n, 1, 0.0, READY, 0, 0, 1.0) for n in range(100)]
     settings = make_settings(fleet=600, zone_directors=(0, *[15] * 40), zone_link=(0.0, *[9000.0] * 40))
@@ -56,21 +56,21 @@
         {"zone": -1},
     ],
 )
-def test_odd_shares(changes: dict[str, int]) -> None:
+def test_implausible_fleet_sizes_and_zones_are_tolerated(changes: dict[str, int]) -> None:
     policy = PolicyHarness(
         make_settings(**changes), [n._replace(zone=changes.get("zone", 1)) for n in make_endpoints()]
     )
     assert request_and_answer_each(policy, 60)
 
 
-def test_a_location_with_one_cache() -> None:
+def test_zone_with_one_cache() -> None:
     sent = request_and_answer_each(
         PolicyHarness(nodes=[n for n in make_endpoints() if n.node not in CACHES[1:]]), 40
     )
     assert {attempt.node for attempt in sent} == {CACHES[0]}
 
 
-def test_all_caches_replaced_at_once_while_hundreds_are_held() -> None:
+def test_all_caches_replaced_while_hundreds_of_requests_are_in_flight() -> None:
     policy = PolicyHarness(
         make_settings(most_attempts=6), [n._replace(weight=500.0) for n in make_endpoints()]
     )
@@ -83,7 +83,7 @@
         assert started_attempts(actions) or isinstance(actions[-1], Refuse)
 
 
-def test_weights_that_change_with_every_list() -> None:
+def test_weights_that_change_with_every_list_update() -> None:
     policy = PolicyHarness(make_settings(weighted=True))
     for turn, weight in enumerate((0.0, 1e-9, 4.0, 1e9, -3.0) * 4):
         policy.update_endpoint(CACHES[turn % 4], weight=weight)
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize("load", [(), (0.0,), (math.nan, math.inf, -1.0, 1e30, 7.0)])
-def test_reports_of_any_kind_mislead_nobody(load: tuple[float, ...]) -> None:
+def test_load_reports_of_any_form_do_not_mislead(load: tuple[float, ...]) -> None:
     policy = PolicyHarness(make_settings(report_fields=("busy_reqs", "x1")))
     home = started_attempts(policy.request(key=1))[0]
     policy.handle(Ended(home.req, 0, home.node, Outcome.OK, 1.0, True, Note.HIT, 0.0, load))
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize("deadline, within", [(600.0, 0.8), (9000.0, 3.2)])
-def test_sigterm_answers_before_sigkill(deadline: float, within: float) -> None:
+def test_shutdown_answers_requests_before_the_kill_timeout(deadline: float, within: float) -> None:
     """SIGKILL comes 0.7 s after the longest deadline, of which 3 s count at most."""
     classes = [{**cls, "deadline": deadline, "on_time": 500.0} for cls in SETTINGS["classes"]]
     router = RouterHarness(classes=classes)
@@ -25,7 +25,9 @@
     router.close()
 
 
-def test_sigterm_finishes_what_was_taken_and_takes_more_for_the_grace(router: RouterHarness) -> None:
+def test_shutdown_completes_open_requests_and_accepts_more_during_the_grace_period(
+    router: RouterHarness,
+) -> None:
     early = router.connect()
     early.send_request()
     held = router.next_command()
@@ -41,8 +43,8 @@
     router.process = router.start()
 
 
-def test_sigterm_while_all_places_are_taken_loses_nothing() -> None:
-    """Guards against an end with connections that wait to be accepted, and against one by an error."""
+def test_shutdown_at_the_connection_limit_loses_no_request() -> None:
+    """A connection that waits to be accepted is still served, and the process ends without an error."""
     router = RouterHarness(sockets=16)  # of which clients get 8
     held = [router.connect() for _ in range(8)]
     for client in held:
@@ -61,7 +63,7 @@
     router.close()
 
 
-def test_sigterm_answers_what_no_cache_answers(router: RouterHarness) -> None:
+def test_shutdown_answers_requests_that_no_cache_answers(router: RouterHarness) -> None:
     clients = [router.connect(), router.connect()]
     clients[0].send_request(X_TTL_MS="3600000")
     clients[1].send_request(X_TTL_MS="3600000", **WRITE_REQUEST)
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -1,4 +1,4 @@
-"""The decisions stay readable: each module that decides is named in the deploy file, with short lines."""
+"""Each decision module is listed in the deploy file and has short lines."""
 
 import tomllib
 from pathlib import Path
@@ -6,7 +6,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_decision_modules_are_listed_and_their_lines_are_short() -> None:
+def test_decision_modules_are_listed_and_have_short_lines() -> None:
     listed = tomllib.loads(ROOT.joinpath("deploy", "balancer.toml").read_text())["policy"]
     assert {"stonecove/choice.py", "stonecove/rules.py"} <= set(listed)
     assert max(len(line) for path in listed for line in ROOT.joinpath(path).read_text().splitlines()) <= 110
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The fault soak: one short run on real processes, and an oracle that finds what is planted."""
+"""The fault-injection run: a short one on real processes, and an oracle that finds planted violations."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def good() -> Observations:
-    """One request that a cache served well, at a router that ran and stopped as it should."""
+    """One request served without fault, at a router that ran and stopped normally."""
     asked = Asked(
         "t1",
         "n0",
@@ -77,26 +77,26 @@
 
 
 @pytest.mark.parametrize("rule, plant", PLANTED)
-def test_the_oracle_finds_what_is_planted(rule: str, plant: Callable[[Observations], None]) -> None:
+def test_oracle_finds_each_planted_violation(rule: str, plant: Callable[[Observations], None]) -> None:
     seen, scenario = good(), draw(1)
     assert judge(seen, scenario) == []
     plant(seen)
     assert rule in {violation.rule for violation in judge(seen, scenario)}
 
 
-def test_a_seed_fixes_the_scenario() -> None:
+def test_seed_determines_the_scenario() -> None:
     assert draw(5) == draw(5)
     assert draw(5) != draw(6)
 
 
-def test_a_plan_survives_its_way_through_the_environment() -> None:
+def test_fault_plan_round_trips_through_the_environment() -> None:
     plan = FaultPlan([Fault(Call.CONNECT, "ENOBUFS", 1.0, 2.0, 0.5), Fault(Call.CLOCK, step=-3.0)], 9)
     copy = FaultPlan.from_json(plan.to_json())
     assert (copy.faults, copy.seed) == (plan.faults, plan.seed)
 
 
 @pytest.mark.parametrize("size", [1, 3, 1000])
-def test_commands_are_found_however_they_are_split(size: int) -> None:
+def test_commands_are_parsed_across_any_split(size: int) -> None:
     data = resp_array(b"fetch", b"t1", b"cls=a,limit=5", b"\r\n") + resp_array(b"abort", b"t1")
     scanner, found = CommandScanner(), []
     for at in range(0, len(data), size):
@@ -104,7 +104,7 @@
     assert found == [[b"fetch", b"t1", b"cls=a,limit=5", b"\r\n"], [b"abort", b"t1"]]
 
 
-def test_a_short_run_breaks_no_rule() -> None:
+def test_short_run_violates_no_rule() -> None:
     words = ("soak", "--seed", "1", "--seconds", "9", "--routers", "3", "--caches", "3")
     ran = subprocess.run(
         [sys.executable, "-m", "stonecove", *words], capture_output=True, text=True, timeout=120, check=False
--- a/tests/test_statistics.py
+++ b/tests/test_statistics.py
@@ -14,7 +14,7 @@
 from stonecove.wire.channel import Channel, Owner
 
 
-def test_the_stats_line_tells_why_requests_were_refused() -> None:
+def test_statistics_line_counts_rejections_by_reason() -> None:
     lines: list[tuple[str, dict[str, object]]] = []
     clock, responses = Clock(lambda: 1000.0, lambda: 1000.0), list[exchange.Answer]()
     budget = Budget()
--- a/tests/test_system_call_failures.py
+++ b/tests/test_system_call_failures.py
@@ -1,4 +1,4 @@
-"""The system around the router misbehaves: clocks step, calls fail for a moment, nobody reads the log."""
+"""Faults of the operating system: clock steps, failing system calls, a log that nobody reads."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def fetch_status(router: RouterHarness, client: FastCgiClient, ident: int = 1, **what: Any) -> int:
-    """The status of a request whose first attempt a cache fills and answers well."""
+    """The status of a request whose first attempt a cache answers with a copy filled from the origin."""
     client.send_request(ident, **what)
     router.next_command().reply(body=b"good", tell="via_origin", waited=3)
     return client.read_response().status
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize("step", [-3600.0, -1.5, 30.0, 3600.0])
-def test_a_step_of_the_wall_clock_changes_no_answer(
+def test_wall_clock_step_changes_no_response(
     start_router: Callable[..., RouterHarness], tmp_path: Path, step: float
 ) -> None:
     flag = tmp_path / "stepped"
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("step", [-3600.0, 30.0, 3600.0])
-def test_a_purge_told_after_a_step_is_heeded(
+def test_purge_after_a_wall_clock_step_is_applied(
     start_router: Callable[..., RouterHarness], tmp_path: Path, step: float
 ) -> None:
     flag = tmp_path / "stepped"
@@ -74,8 +74,8 @@
     assert client.read_response().body == b"new"
 
 
-def test_a_clock_that_was_wrong_at_the_start_is_found_out(start_router: Callable[..., RouterHarness]) -> None:
-    """Copies that the origin gave out just now show how far our clock is off."""
+def test_wrong_wall_clock_at_startup_is_detected(start_router: Callable[..., RouterHarness]) -> None:
+    """Copies that just left the origin show the error of the local clock."""
     router = start_router(faults=[Fault(Call.CLOCK, step=3600.0, end=math.inf)])
     client = router.connect()
 
@@ -92,11 +92,11 @@
     assert len(router.log_lines("peer-time-moved")) == 1
 
 
-# -- calls that fail for a moment --
+# -- transient failures --
 
 
 def check_serving_after(router: RouterHarness, until: float) -> None:
-    """Checks that the router lives on, and serves on old and new connections once the trouble is over."""
+    """Checks that the router survives, and serves on old and new connections once the fault is over."""
     client = router.connect()
     assert fetch_status(router, client) == 200
     time.sleep(max(0.0, until - time.monotonic()))
@@ -106,10 +106,10 @@
 
 
 @pytest.mark.parametrize("error", ["EMFILE", "ENFILE", "EIO"])
-def test_statistics_that_cannot_be_read_end_nothing(
+def test_unreadable_statistics_do_not_stop_the_router(
     start_router: Callable[..., RouterHarness], error: str
 ) -> None:
-    """The span includes the writing of a statistics line."""
+    """The fault lasts until after a statistics line was due."""
     now = time.monotonic()
     check_serving_after(start_router(faults=[Fault(Call.OPEN, error, now + 2.0, now + 7.5)]), now + 7.7)
 
@@ -125,7 +125,7 @@
         (Call.CONNECT, "EADDRNOTAVAIL"),
     ],
 )
-def test_calls_that_fail_for_a_moment_end_nothing(
+def test_transient_system_call_failures_do_not_stop_the_router(
     start_router: Callable[..., RouterHarness], call: Call, error: str
 ) -> None:
     now = time.monotonic()
@@ -135,7 +135,7 @@
 # -- the log --
 
 
-def test_a_log_that_nobody_reads_stops_nothing(start_router: Callable[..., RouterHarness]) -> None:
+def test_unread_log_does_not_block_the_router(start_router: Callable[..., RouterHarness]) -> None:
     router = start_router()
     router.process.send_signal(signal.SIGKILL)
     router.process.wait()
@@ -161,7 +161,7 @@
         os.close(reader)
 
 
-def test_a_reload_whose_file_cannot_be_opened_for_a_moment_is_made_up_for(
+def test_reload_is_retried_when_its_file_cannot_be_opened(
     start_router: Callable[..., RouterHarness], tmp_path: Path
 ) -> None:
     flag = tmp_path / "no-descriptors"
@@ -175,10 +175,10 @@
     assert "sockets=99" in router.log_lines("reloaded")[0]
 
 
-# -- the stop and the start --
+# -- shutdown and startup --
 
 
-def test_a_connection_that_was_aborted_takes_no_other_along_at_the_stop(
+def test_aborted_connection_does_not_affect_others_at_shutdown(
     start_router: Callable[..., RouterHarness], tmp_path: Path
 ) -> None:
     flag = tmp_path / "aborted"
@@ -199,7 +199,7 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGHUP, signal.SIGINT])
-def test_a_signal_during_the_stop_cuts_nothing_short(
+def test_signal_during_shutdown_does_not_cut_it_short(
     start_router: Callable[..., RouterHarness], number: signal.Signals
 ) -> None:
     router = start_router()
@@ -221,7 +221,7 @@
     "call, error, path",
     [(Call.SOCKET, "ENFILE", ""), (Call.OPEN, "EMFILE", "config.json"), (Call.OPEN, "EIO", "config.json")],
 )
-def test_a_call_that_fails_at_the_start_is_made_again(
+def test_failed_system_call_at_startup_is_retried(
     start_router: Callable[..., RouterHarness], call: Call, error: str, path: str
 ) -> None:
     now = time.monotonic()
@@ -230,7 +230,7 @@
     assert router.log_lines("start-delayed")
 
 
-# -- connections of our own --
+# -- upstream connections --
 
 
 @pytest.mark.parametrize(
@@ -243,7 +243,7 @@
         (Call.CONNECT, "ENOBUFS"),
     ],
 )
-def test_a_lack_of_our_own_is_waited_out_and_blames_no_cache(
+def test_local_resource_shortage_is_waited_out_without_ejecting_a_cache(
     start_router: Callable[..., RouterHarness], tmp_path: Path, call: Call, error: str
 ) -> None:
     flag = tmp_path / "lacking"
@@ -260,7 +260,7 @@
 
 
 @pytest.mark.parametrize("call", [Call.SEND, Call.RECEIVE])
-def test_buffers_that_lack_for_a_moment_end_no_connection(
+def test_buffer_shortage_does_not_close_connections(
     start_router: Callable[..., RouterHarness], tmp_path: Path, call: Call
 ) -> None:
     flag = tmp_path / "lacking"
@@ -272,7 +272,7 @@
     assert not router.log_lines("connection-lost") and not router.log_lines("client-lost")
 
 
-def test_a_whole_list_that_comes_in_over_seconds_is_taken(start_router: Callable[..., RouterHarness]) -> None:
+def test_endpoint_list_received_over_seconds_is_accepted(start_router: Callable[..., RouterHarness]) -> None:
     router = start_router()
     assert router.change_log.resumed_from.get(timeout=TEST_TIMEOUT) == 1
     router.change_log.send_event(1, 0)
--- a/tests/test_unread_input.py
+++ b/tests/test_unread_input.py
@@ -1,6 +1,6 @@
-"""What a client sent while the router could not read: requests grow old, and clients leave, unseen.
+"""Input that arrived while the router could not read: requests that aged, clients that disconnected.
 
-The router is stopped (SIGSTOP) to force the crossing: all that comes meanwhile is there when it goes on.
+The router is stopped with SIGSTOP to force the race: everything sent meanwhile is there when it continues.
 """
 
 from __future__ import annotations
@@ -20,20 +20,20 @@
 
 from stonecove.soak.plan import Call, Fault
 
-EXCESS = 150  # ms by which the limit passed on may exceed what the client has left
-UNREAD = 0.6  # seconds
+MAX_LIMIT_EXCESS = 150  # ms by which the forwarded limit may exceed the time the client has left
+UNREAD_TIME = 0.6  # seconds
 
 
 @contextlib.contextmanager
 def paused(router: RouterHarness) -> Iterator[None]:
-    """The router reads nothing meanwhile."""
+    """Stops the router process, which reads nothing meanwhile."""
     router.process.send_signal(signal.SIGSTOP)
     yield
     router.process.send_signal(signal.SIGCONT)
 
 
 def fetches(router: RouterHarness, count: int) -> list[ReceivedCommand]:
-    """The next fetches, as many as there are within a second, so many at most."""
+    """The next fetch commands, up to `count`, until none arrives for a second."""
     found: list[ReceivedCommand] = []
     with contextlib.suppress(queue.Empty):
         while len(found) < count:
@@ -43,7 +43,7 @@
 
 
 def disconnect(client: FastCgiClient, how: str) -> None:
-    """The client no longer waits for its request 1."""
+    """The client abandons its request 1 by an abort, a close or a reset."""
     if how == "abort":
         client.sock.sendall(fastcgi_record(2, 1))
     elif how == "close":
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("connection", ["resting", "new"])
-def test_the_time_that_a_request_waited_unread_is_taken_off_its_deadline(
+def test_time_spent_unread_is_deducted_from_the_deadline(
     start_router: Callable[..., RouterHarness], connection: str
 ) -> None:
     router = start_router()
@@ -65,13 +65,13 @@
             client = router.connect()
         client.send_request(X_TTL_MS="3000")
         sent = time.monotonic()
-        time.sleep(UNREAD)
+        time.sleep(UNREAD_TIME)
     limit = int(router.next_command().fields["limit"])
     left = 3000 - (time.monotonic() - sent) * 1000
-    assert limit <= left + EXCESS
+    assert limit <= left + MAX_LIMIT_EXCESS
 
 
-def test_of_requests_that_came_one_by_one_the_oldest_counts(
+def test_oldest_unread_request_determines_the_deduction(
     start_router: Callable[..., RouterHarness],
 ) -> None:
     router = start_router()
@@ -84,16 +84,16 @@
             time.sleep(0.3)
     for fetch in fetches(router, 3):
         left = 3000 - (time.monotonic() - sent[fetch.request_id]) * 1000
-        assert int(fetch.fields["limit"]) <= left + EXCESS
+        assert int(fetch.fields["limit"]) <= left + MAX_LIMIT_EXCESS
 
 
 @pytest.mark.parametrize("how", ["abort", "close", "reset"])
-def test_no_attempt_begins_for_a_client_that_left_unseen(
+def test_no_attempt_starts_for_a_client_that_disconnected_unread(
     start_router: Callable[..., RouterHarness], how: str
 ) -> None:
-    """Second copies fall due, and the clients leave, while the router is stopped.
+    """Hedged requests become due, and the clients disconnect, while the router is stopped.
 
-    Which of the two it looks at first is left to chance, so there are several rounds.
+    Which of the two it handles first is random, so there are several rounds.
     """
     classes = [{**entry, "on_time": 400.0} for entry in SETTINGS["classes"]]
     router = start_router(classes=classes)
@@ -110,10 +110,10 @@
         assert fetches(router, 1) == []
 
 
-def test_a_client_that_only_ends_its_sending_gets_its_answer(
+def test_half_closed_client_gets_its_response(
     start_router: Callable[..., RouterHarness],
 ) -> None:
-    """It can't be told from one that left, so nothing new is begun; but a final answer is owed."""
+    """It looks like one that disconnected, so no new attempt starts; but it gets a final response."""
     router = start_router()
     client = router.connect()
     client.send_request()
@@ -122,10 +122,10 @@
     assert client.read_response().status in (200, 502, 503)
 
 
-def test_of_requests_on_a_connection_that_waited_to_be_accepted_the_oldest_counts(
+def test_oldest_request_of_an_unaccepted_connection_determines_the_deduction(
     start_router: Callable[..., RouterHarness], tmp_path: Path
 ) -> None:
-    """Accepting fails for a while, as without descriptors; meanwhile one connection gets one request more."""
+    """Accepting fails for a while, as without descriptors; meanwhile requests arrive on one connection."""
     flag = tmp_path / "no-buffers"
     router = start_router(faults=[Fault(Call.ACCEPT, "ENOBUFS", flag=str(flag))])
     flag.touch()
@@ -140,10 +140,10 @@
     assert len(found) == 3
     for fetch in found:
         left = 3000 - (time.monotonic() - sent[fetch.request_id]) * 1000
-        assert int(fetch.fields["limit"]) <= left + EXCESS
+        assert int(fetch.fields["limit"]) <= left + MAX_LIMIT_EXCESS
 
 
-def test_a_request_whose_time_was_over_unread_is_refused_and_not_sent(
+def test_request_that_expired_unread_is_rejected_and_not_sent(
     start_router: Callable[..., RouterHarness],
 ) -> None:
     router = start_router()
@@ -151,6 +151,6 @@
     assert client.request(path="/status/live").status == 200
     with paused(router):
         client.send_request(X_TTL_MS="300")
-        time.sleep(UNREAD)
+        time.sleep(UNREAD_TIME)
     assert client.read_response().status == 503
     assert fetches(router, 1) == []
