--- /dev/null
+++ b/tests/test_race_conditions.py
@@ -0,0 +1,332 @@
+"""Race conditions on real sockets, forced by events, paused peers and connections held back."""
+
+from __future__ import annotations
+
+import json
+import os
+import signal
+import socket
+import subprocess
+import sys
+import threading
+import time
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+import pytest
+import trio
+import trio.testing
+from fastcgi_client import FastCgiClient, fastcgi_record
+from router_harness import SETTINGS, RouterHarness
+from tcp_endpoints import UnresponsiveAddress, free_address
+from waiting import TEST_TIMEOUT
+
+from stonecove.ground.clock import Clock
+from stonecove.ground.log import divert
+from stonecove.memory.budget import Budget
+from stonecove.stages.route import Route
+from stonecove.wire.client import Connection
+from stonecove.wire.follow import ChangeLog
+from stonecove.wire.session import MOST_TURNED_AWAY, Session
+
+TIME_WAIT = "06"
+
+
+def limits(**changes: Any) -> dict[str, Any]:
+    return {**SETTINGS["limits"], **changes}
+
+
+def wait_for_decisions(client: FastCgiClient) -> None:
+    """Returns once earlier requests are decided: each round takes a turn of the router's event loop."""
+    for _ in range(5):
+        assert client.request(request_id=9, path="/status/live").status == 200
+
+
+def refuses_connections(router: RouterHarness) -> bool:
+    """Whether the router refuses a new connection."""
+    try:
+        router.connect().sock.close()
+    except ConnectionRefusedError:
+        return True
+    return False
+
+
+class HealthHandler:
+    """A session handler that answers every request with 200."""
+
+    def __init__(self) -> None:
+        self.asked = 0
+        self.came = trio.Event()
+
+    def request(self, connection: Session, ident: int, params: dict[str, str], body: bytes, bad: str) -> bool:
+        self.asked += 1
+        self.came.set()
+        connection.answer(ident, b"Status: 200 OK\r\n\r\n", b"")
+        return True
+
+    def aborted(self, connection: Session, ident: int) -> None:
+        """No attempt is in flight."""
+
+    def gone(self, connection: Session, ident: int) -> None:
+        """No attempt is in flight."""
+
+
+def connections_to(unresponsive: UnresponsiveAddress) -> int:
+    """The connections of the router to this address, without the two fillers."""
+    rows = [line.split() for line in Path("/proc/net/tcp").read_text().splitlines()[1:]]
+    return sum(int(row[2].split(":")[1], 16) == unresponsive.port and row[3] != TIME_WAIT for row in rows) - 2
+
+
+# -- client disconnects --
+
+
+def test_pending_attempt_is_not_sent_after_client_disconnect(
+    start_router: Callable[..., RouterHarness],
+) -> None:
+    """Also where cancellation is not allowed: an attempt that was not sent needs none."""
+    router = start_router(limits=limits(connect_timeout=28_000.0, conn_idle=600_000.0, cancel=False))
+    unresponsive, (slow, other) = UnresponsiveAddress(), router.caches
+    router.change_log.send_event(
+        2, 2, router.endpoint_record(slow, 0, port=unresponsive.port) + router.endpoint_record(other, 1)
+    )
+    router.wait_until(lambda: len(router.log_lines("node")) == 6, "the change")
+    left, stays = router.connect(), router.connect()
+    left.send_request(1, X_TXN="00000000000000aa", X_TTL_MS="30000")
+    wait_for_decisions(left)
+    left.sock.sendall(fastcgi_record(2, 1))
+    assert left.read_response()[:2] == (1, 0)
+    stays.send_request(1, X_TXN="00000000000000bb", X_TTL_MS="30000")
+    wait_for_decisions(stays)
+    assert (
+        connections_to(unresponsive) == 1
+    )  # the second request goes by the connection that the first gave up
+    asked = unresponsive.accept_connection().recv(1000)
+    assert b"00000000000000bb" in asked and b"00000000000000aa" not in asked
+    unresponsive.close()
+
+
+@pytest.mark.parametrize("how", ["abort", "close"])
+def test_disconnect_of_a_client_being_closed_is_noticed(
+    start_router: Callable[..., RouterHarness], how: str
+) -> None:
+    router = start_router()
+    client = router.connect()
+    client.send_request(1)
+    fetch = router.next_command()
+    for _ in range(MOST_TURNED_AWAY + 1):
+        assert client.request(request_id=2, path="/svc/nothing").status == 404
+    client.send_request(3)  # behind that, nothing is taken any more
+    assert client.read_response()[:2] == (3, 0)
+    if how == "abort":
+        client.sock.sendall(fastcgi_record(2, 1))
+    else:
+        client.sock.shutdown(socket.SHUT_RDWR)
+    assert router.next_command("abort").request_id == fetch.request_id
+
+
+def test_connection_with_an_unread_request_is_not_retired() -> None:
+    """The request arrives at the moment in which the idle connection is to be closed."""
+
+    async def cross() -> None:
+        ours, theirs = socket.socketpair()
+        with ours, theirs:
+            ours.setblocking(False)
+            handler, budget = HealthHandler(), Budget()
+            budget.most = 1e6
+            connection = Connection(ours, handler, Clock().now, budget)
+            async with trio.open_nursery() as nursery:
+                nursery.start_soon(connection.run)
+                await trio.testing.wait_all_tasks_blocked()
+                theirs.sendall(
+                    FastCgiClient.encode_request(FastCgiClient.__new__(FastCgiClient), path="/status/live")
+                )
+                connection.retire("room for others")
+                assert not connection.leaving()
+                with trio.fail_after(TEST_TIMEOUT):
+                    await handler.came.wait()
+                assert b"200 OK" in theirs.recv(1000)
+                connection.retire("room for others")
+                theirs.sendall(
+                    FastCgiClient.encode_request(FastCgiClient.__new__(FastCgiClient), path="/status/live")
+                )
+                assert theirs.recv(1000) == b""  # the half-close, and no reset
+                theirs.shutdown(socket.SHUT_WR)
+            assert handler.asked == 1  # what came behind the half-close was not taken
+
+    trio.run(cross)
+
+
+# -- discovery --
+
+
+def test_watch_reconnects_while_idle_clients_use_all_connections(
+    start_router: Callable[..., RouterHarness],
+) -> None:
+    """The limits leave a reserve: client, cache and own connections fit in together."""
+    router = start_router(sockets=64, descriptors=64)  # of which clients get 32
+    busy = [router.connect() for _ in range(8)]
+    for client in busy:
+        client.send_request()
+    fetches = [router.next_command() for _ in busy]  # each on a connection of its own
+    idle = [router.connect() for _ in range(60)]
+    wait_for_decisions(busy[0])
+    assert router.change_log.resumed_from.get(timeout=TEST_TIMEOUT) == 1
+    router.change_log.listener.accepted[-1].shutdown(socket.SHUT_RDWR)
+    assert router.change_log.resumed_from.get(timeout=TEST_TIMEOUT) == 1
+    router.change_log.send_event(2, 2, router.endpoint_record(router.caches[0], 1))
+    router.wait_until(lambda: len(router.log_lines("node")) == 5, "the next event")
+    for fetch in fetches:
+        fetch.reply(body=b"served")
+    assert {client.read_response().body for client in busy} == {b"served"}
+    for client in idle:
+        client.sock.close()
+
+
+def test_routers_reconnect_to_a_lost_change_log_with_jitter() -> None:
+    def lost_at(seed: int) -> list[float]:
+        """The times at which a router of that seed fails to connect."""
+        times: list[float] = []
+
+        async def follow() -> None:
+            with trio.CancelScope() as scope:
+
+                def note(event: str, fields: dict[str, object]) -> None:
+                    times.append(trio.current_time())
+                    if len(times) == 6:
+                        scope.cancel()
+
+                divert(note)
+                await ChangeLog(*free_address(), 0, seed).run(Route.__new__(Route))
+
+        trio.run(follow, clock=trio.testing.MockClock(autojump_threshold=0))
+        divert(None)
+        return times
+
+    first, second = lost_at(1), lost_at(2)
+    for times in (first, second):
+        gaps = [later - earlier for earlier, later in zip(times, times[1:], strict=False)]
+        for gap, most in zip(gaps, (0.1, 0.2, 0.4, 0.4, 0.4), strict=True):
+            assert 0.5 * most <= gap <= most + 0.001
+    assert all(abs(one - other) > 1e-6 for one, other in zip(first[1:], second[1:], strict=True))
+
+
+# -- shutdown --
+
+
+def test_partially_received_request_is_answered_after_the_grace_period(
+    start_router: Callable[..., RouterHarness],
+) -> None:
+    router = start_router()
+    client = router.connect()
+    whole = client.encode_request()
+    client.sock.sendall(whole[:40])
+    router.process.send_signal(signal.SIGTERM)
+    router.wait_until(lambda: refuses_connections(router), "the end of the grace")
+    client.sock.sendall(whole[40:])
+    router.next_command().reply(body=b"whole")
+    assert client.read_response().body == b"whole"
+    assert router.process.wait(TEST_TIMEOUT) == 0
+
+
+def test_idle_connection_is_half_closed_at_shutdown_and_not_reset(
+    start_router: Callable[..., RouterHarness],
+) -> None:
+    router = start_router()
+    client = router.connect()
+    wait_for_decisions(client)
+    router.process.send_signal(signal.SIGTERM)
+    assert client.sock.recv(1) == b""
+    client.send_request()
+    assert client.sock.recv(1) == b""
+    client.sock.shutdown(socket.SHUT_WR)
+    assert router.process.wait(TEST_TIMEOUT) == 0 and router.commands.empty()
+
+
+def test_unaccepted_connections_are_answered_at_shutdown(
+    start_router: Callable[..., RouterHarness],
+) -> None:
+    """The connection limit is reached until the last moment, so no waiting client was accepted before."""
+    router = start_router(sockets=16)  # of which clients get 8
+    held = [router.connect() for _ in range(8)]
+    for client in held:
+        client.send_request(path="/svc/confirm", X_TTL_MS="60000")
+    for _ in held:
+        router.next_command()
+    late = [router.connect() for _ in range(2)]
+    for client in late:
+        client.send_request()
+    router.process.send_signal(signal.SIGTERM)
+    assert {client.read_response().status for client in late} == {503}
+    assert {client.read_response().status for client in held} == {502}
+    assert router.process.wait(TEST_TIMEOUT) == 0
+
+
+@pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGTERM])
+def test_signal_during_startup_is_handled_once_ready(
+    start_router: Callable[..., RouterHarness], tmp_path: Path, number: signal.Signals
+) -> None:
+    router = start_router()
+    router.process.kill()
+    router.process.wait(TEST_TIMEOUT)
+    path, whole = tmp_path / "config.json", tmp_path / "whole.json"
+    whole.write_text(json.dumps(router.config))
+    os.mkfifo(path)
+    with Path(router.directory.name, "log").open("wb") as output:
+        router.process = subprocess.Popen(
+            [sys.executable, "-m", "stonecove"], stderr=output, env={**os.environ, "RELAY_CONFIG": str(path)}
+        )
+    with path.open("w") as pipe:  # opens once the router reads it, and so has begun to start
+        whole.rename(path)
+        router.process.send_signal(number)
+        pipe.write(json.dumps(router.config))
+    word = "reloaded" if number == signal.SIGHUP else "stopped"
+    router.wait_until(
+        lambda: router.log_lines(word) or router.process.poll() is not None, "what the signal asks for"
+    )
+    assert router.log_lines("ready") and router.log_lines(word)
+
+
+def test_stopping_router_does_not_report_itself_live(start_router: Callable[..., RouterHarness]) -> None:
+    router = start_router()
+    client = router.connect()
+    whole = client.encode_request(path="/status/live")
+    client.sock.sendall(whole[:40])  # so that the connection is not at rest
+    router.process.send_signal(signal.SIGTERM)
+    router.wait_until(lambda: router.log_lines("stopping"), "the stop")
+    client.sock.sendall(whole[40:])
+    assert client.read_response().status == 503
+
+
+def test_pending_retry_is_not_sent_after_its_deduplication_window(
+    start_router: Callable[..., RouterHarness],
+) -> None:
+    window = 700.0
+    classes = [{**cls, "effect": "token", "group": "all", "window": window} for cls in SETTINGS["classes"]]
+    router = start_router(classes=classes, limits=limits(connect_timeout=28_000.0, conn_idle=600_000.0))
+    client, probe = router.connect(), router.connect()
+    client.send_request(X_TXN_KEY="k1", X_TTL_MS="30000")
+    first = router.next_command()
+    sent = time.monotonic()
+    unresponsive, other = (
+        UnresponsiveAddress(),
+        next(cache for cache in router.caches if cache is not first.cache),
+    )
+    router.change_log.send_event(2, 2, router.endpoint_record(other, 0, port=unresponsive.port))
+    router.wait_until(lambda: len(router.log_lines("node")) == 5, "the change")
+    first.reply("500")
+    wait_for_decisions(probe)
+    assert connections_to(unresponsive) == 1  # the repeat was ordered within its window
+    while time.monotonic() < sent + window / 1000.0:
+        time.sleep(0.05)
+    came: list[bytes] = []
+    opening = threading.Thread(
+        target=lambda: came.append(unresponsive.accept_connection().recv(1000)), daemon=True
+    )
+    opening.start()  # the kernel may forget a connection on which nothing is sent: then none is accepted
+    assert client.read_response().status == 503
+    router.process.send_signal(signal.SIGTERM)
+    assert router.process.wait(TEST_TIMEOUT) == 0
+    unresponsive.close()
+    opening.join(TEST_TIMEOUT)
+    assert came in ([], [b""])  # not a byte of the repeat went out
