--- a/benchmarks/explore.py
+++ b/benchmarks/explore.py
@@ -12,7 +12,7 @@
 
 import numpy as np
 
-from stonecove.explore import hunt, search, seeds
+from stonecove.explore import mutation_run, mutations, search
 from stonecove.explore.copying import DeepCopy, Pickle, Replay, Way, run
 from stonecove.explore.scope import SMALL, named
 from stonecove.explore.search import Crew, Options, Result
@@ -24,8 +24,10 @@
 
 def _play(name: str, depth: int, processes: int = 1, **options: object) -> Result:
     with Crew(processes) as crew:
-        hunt.explore(named(SMALL, name).with_bounds(depth=2), crew, Options())  # processes are up by now
-        return hunt.explore(named(SMALL, name).with_bounds(depth=depth), crew, Options(**options))  # type: ignore[arg-type]
+        mutation_run.explore(
+            named(SMALL, name).with_bounds(depth=2), crew, Options()
+        )  # processes are up by now
+        return mutation_run.explore(named(SMALL, name).with_bounds(depth=depth), crew, Options(**options))  # type: ignore[arg-type]
 
 
 def _rates(result: Result) -> str:
@@ -113,7 +115,9 @@
         print(f"  {processes} processes {_rates(result)}  {one / result.seconds:.2f} times as fast")
     if not short:
         print("Time to each seeded fault, on one core each:")
-        for caught in hunt.catch_all([seed.name for seed in seeds.SEEDS], min(8, os.cpu_count() or 1)):
+        for caught in mutation_run.catch_all(
+            [mutation.name for mutation in mutations.MUTATIONS], min(8, os.cpu_count() or 1)
+        ):
             print(
                 f"  {caught.name:32} {caught.seconds:6.2f} s {caught.states:6} states "
                 f"{len(caught.found.steps) if caught.found else 0:3} steps"
--- a/stonecove/commands/explore.py
+++ b/stonecove/commands/explore.py
@@ -92,7 +92,7 @@
     depth: int | None,
 ) -> None:
     """Explore a scope whole."""
-    from stonecove.explore.hunt import explore_all
+    from stonecove.explore.mutation_run import explore_all
     from stonecove.explore.scope import SCOPES, named
     from stonecove.explore.search import Crew, SavedError
 
@@ -134,10 +134,10 @@
 @click.option("--processes", default=0, type=click.IntRange(0, 64), help="0: all cores, at most 8.")
 def seeded_command(only: tuple[str, ...], processes: int) -> None:
     """Plant faults of one line, one after the other, and show by what each is found."""
-    from stonecove.explore.hunt import catch_all
-    from stonecove.explore.seeds import SEEDS
+    from stonecove.explore.mutation_run import catch_all
+    from stonecove.explore.mutations import MUTATIONS
 
-    names = [seed.name for seed in SEEDS]
+    names = [mutation.name for mutation in MUTATIONS]
     if unknown := [name for name in only if name not in names]:
         _unusable(f"no fault {unknown[0]!r}")
     began = time.monotonic()
@@ -182,7 +182,7 @@
 @click.option("--traces", type=click.Path(path_type=Path, file_okay=False), help="Keep counterexamples here.")
 def walk_command(walks: int, steps: int, seed: int, processes: int, traces: Path | None) -> None:
     """Walk at random beyond the bounds, seeded."""
-    from stonecove.explore.hunt import wander_all
+    from stonecove.explore.mutation_run import wander_all
     from stonecove.explore.scope import WALK
     from stonecove.explore.search import Result
 
--- /dev/null
+++ b/stonecove/explore/fingerprint/__init__.py
@@ -0,0 +1,89 @@
+"""A state of the router model in a canonical form, from which its fingerprint is made.
+
+Times are relative to the present, requests are named by their place in the scope, and connections by node and
+order, so that runs which differ in those names alone give the same state. Each area of the core has a module
+with its encoders and its part of the ledger: the fields of each class that are encoded, and those left out,
+with the reason. A class with a field that the ledger does not list is refused (`check_fields`), since a field
+that was forgotten would merge states that differ.
+"""
+
+from __future__ import annotations
+
+import marshal
+
+import xxhash
+
+from stonecove.explore.fingerprint.common import Frame, Ledger, fields_of
+from stonecove.explore.fingerprint.decision import DECISION, encode_director
+from stonecove.explore.fingerprint.peers import PEERS, encode_server, encode_surroundings, encode_witness
+from stonecove.explore.fingerprint.proxy import PROXY, encode_proxy
+from stonecove.explore.fingerprint.state import RouterState
+from stonecove.explore.fingerprint.transport import TRANSPORT, encode_timers
+
+LEDGER: Ledger = {**DECISION, **PROXY, **TRANSPORT, **PEERS}
+
+
+def check_fields(things: list[object]) -> list[str]:
+    """One message for each field of these objects that the ledger does not list."""
+    unknown = []
+    for thing in things:
+        known: set[str] = set()
+        for cls in type(thing).__mro__:
+            if cls in LEDGER:
+                known |= LEDGER[cls].names()
+        for name in sorted(fields_of(thing) - known):
+            unknown.append(f"{type(thing).__name__}.{name} is not in the ledger of the fingerprint")
+    return unknown
+
+
+def fingerprint(data: bytes) -> int:
+    """A hash of 64 bits. Two of n states share one by chance with a probability of n * n / 2 ** 65."""
+    return xxhash.xxh3_64_intdigest(data)
+
+
+def encode_state(state: RouterState) -> bytes:
+    """The canonical form of the whole state."""
+    frame = Frame(state.now, state.route.requests)
+    servers = [encode_server(channel, state, frame) for channel in state.channels]
+    encoded = (
+        encode_proxy(state.route, state.budget, frame),
+        tuple(sorted(servers, key=lambda server: server[0])),
+        encode_timers(state.timers, state.t, frame),
+        encode_director(state.route._director, frame),
+        encode_surroundings(state, frame),
+        encode_witness(state.witness, state, frame),
+    )
+    return marshal.dumps(encoded, 2)
+
+
+def all_parts(state: RouterState) -> list[object]:
+    """The objects of the state whose classes the ledger lists, to check their fields."""
+    route = state.route
+    director = route._director
+    found: list[object] = [
+        route,
+        route.admit,
+        route.book,
+        route.relay,
+        route.send,
+        route.requests,
+        route.nodes,
+        route.purges,
+        state.budget,
+        state.timers,
+        state.session,
+        state.session._decoder,
+        director,
+        director._popularity,
+        director._purges,
+        director._cold_caches,
+        director._link,
+    ]
+    for request in route.requests:
+        found += [request, *request.attempts]
+    for channel in state.channels:
+        found += [channel, channel.sock, channel.link, channel.decoder]
+    for held in director._held.values():
+        found += [held, *held.attempts]
+    found += list(director._cache_health.values())
+    return found
--- /dev/null
+++ b/stonecove/explore/fingerprint/transport.py
@@ -0,0 +1,120 @@
+"""The state of the codecs, the connections, the client sessions and the timers."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from functools import partial
+from typing import Any
+
+from stonecove.explore.fingerprint.common import REPORTED, WIRING, Fields, Frame, Ledger
+from stonecove.explore.fingerprint.proxy import encode_command
+from stonecove.ground.timers import Timers
+from stonecove.memory import requests
+from stonecove.wire import fastcgi
+from stonecove.wire.channel import Channel
+from stonecove.wire.resp import Decoder
+from stonecove.wire.session import Session
+
+TRANSPORT: Ledger = {
+    Timers: Fields(
+        "_heap",
+        {
+            "_clock": WIRING,
+            "_steady": WIRING,
+            "_wake": WIRING,
+            "_count": "the order of equal times is that of the heap",
+            "_ran": "read for what waits unread; bytes are read as soon as they arrive here",
+            "_stall": "read for what waits unread; bytes are read as soon as they arrive here",
+        },
+    ),
+    Channel: Fields(
+        "_queue _rest _full buffer decoder lacking up over halfway_at",
+        {
+            "_owner": WIRING,
+            "_clock": WIRING,
+            "_sock": WIRING,
+            "_pumping": "false between steps",
+            "_why": REPORTED,
+        },
+    ),
+    Decoder: Fields("_items _left _bulk", {}),
+    Session: Fields(
+        "_decoder _buffer _leaving _partial_since mute _urgent _answers _unsent _rest _full _broken "
+        "closing finished",
+        {
+            "_sock": WIRING,
+            "sock": "encoded by its fields",
+            "_handler": WIRING,
+            "_clock": WIRING,
+            "_budget": WIRING,
+            "last_used": "read by the check of idle clients, which is not played here",
+            "unread_for": "bytes are read as soon as they arrive here",
+            "_unread_most": "bytes are read as soon as they arrive here",
+            "_unread_last": "bytes are read as soon as they arrive here",
+        },
+    ),
+    fastcgi.Decoder: Fields("_taking open turned_away keep", {"_budget": WIRING, "_clock": WIRING}),
+}
+
+
+def encode_channel(channel: Channel, frame: Frame) -> tuple[Any, ...]:
+    """A connection to a cache: its queue, buffers and decoder."""
+    buffer, decoder = channel.buffer, channel.decoder
+    return (
+        tuple(encode_command(command, frame) for command in channel._queue),
+        channel._rest,
+        channel._full,
+        bytes(buffer._data[buffer._start : buffer._end]),
+        tuple(decoder._items),
+        decoder._left,
+        decoder._bulk,
+        channel.lacking,
+        channel.up,
+        channel.over,
+        frame.time(channel.halfway_at),
+    )
+
+
+def encode_session(session: Session, frame: Frame) -> tuple[Any, ...]:
+    """A client connection: its decoder, its buffers and what it still owes."""
+    decoder = session._decoder
+    return (
+        tuple(sorted(decoder.open)),
+        tuple(sorted(decoder._taking)),
+        decoder.turned_away,
+        decoder.keep,
+        len(session._buffer),
+        session._leaving,
+        frame.time(session._partial_since),
+        session.mute,
+        tuple(session._urgent),
+        tuple((ident, tuple(records)) for ident, records in session._answers),
+        session._unsent,
+        bytes(session._rest),
+        session._full,
+        session._broken,
+    )
+
+
+def encode_timers(timers: Timers, seconds: float, frame: Frame) -> tuple[Any, ...]:
+    """All alarms that are set, in their order; `seconds` is the present on the clock of the timers."""
+    return tuple(
+        (round(due - seconds, 6), _call(alarm.call, frame))
+        for due, _, alarm in sorted(timers._heap, key=lambda entry: entry[:2])
+        if alarm.call is not None
+    )
+
+
+def _call(call: Callable[[], None], frame: Frame) -> tuple[Any, ...]:
+    """What an alarm will do: the name of the function, and the requests and attempts it is bound to."""
+    if not isinstance(call, partial):
+        return (getattr(call, "__name__", ""),)
+    found: list[Any] = [getattr(call.func, "__name__", "")]
+    for argument in call.args:
+        if isinstance(argument, requests.Attempt):
+            found += [frame.place(argument.request.req), argument.number]
+        elif isinstance(argument, requests.OpenRequest):
+            found.append(frame.place(argument.req))
+        else:
+            found.append(frame.place(getattr(argument, "token", -1)))
+    return tuple(found)
--- a/stonecove/explore/hunt.py
+++ b/stonecove/explore/mutation_run.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from stonecove.explore import codecs, seeds
+from stonecove.explore import codecs, mutations
 from stonecove.explore.channels import ChannelMachine
 from stonecove.explore.machine import Machine
 from stonecove.explore.scope import SMALL, WALK, Scope, named
@@ -22,7 +22,7 @@
 
 def channel_start(seed: str = "") -> Start:
     """What starts the machine of a connection's life, a seed planted."""
-    seeds.plant(seed)
+    mutations.plant(seed)
 
     def start() -> Machine:
         return ChannelMachine()
@@ -77,11 +77,11 @@
 def explore_codecs(seed: str = "", short: bool = True) -> Result:
     """Plays all cuts of the streams of both codecs; a stream counts as a state, a cut as a transition."""
     began = time.monotonic()
-    seeds.plant(seed)
+    mutations.plant(seed)
     try:
         done = codecs.check(short)
     finally:
-        seeds.plant("")
+        mutations.plant("")
     return Result(
         states=done.streams, transitions=done.cuts, seconds=time.monotonic() - began, found=done.found
     )
@@ -114,7 +114,7 @@
 
 def catch(name: str) -> Caught:
     """Looks for one seeded fault, in this process; takes it out again."""
-    seed = seeds.by_name(name)
+    seed = mutations.by_name(name)
     began, states = time.monotonic(), 0
     try:
         with Crew(1) as crew:
@@ -140,7 +140,7 @@
     except Exception as error:
         return Caught(name, seed.breaks, states=states, seconds=time.monotonic() - began, crash=repr(error))
     finally:
-        seeds.plant("")
+        mutations.plant("")
 
 
 def wander(first: int, count: int, steps: int, scope: Scope = WALK, seed: str = "") -> Walks:
@@ -155,7 +155,7 @@
                 done.found[0] = Found(shrink(start, found.steps, found.violation.prop), found.violation)
                 break
     finally:
-        seeds.plant("")
+        mutations.plant("")
     return done
 
 
--- a/stonecove/explore/reach.py
+++ b/stonecove/explore/reach.py
@@ -12,7 +12,7 @@
 import coverage
 
 import stonecove
-from stonecove.explore import hunt
+from stonecove.explore import mutation_run
 from stonecove.explore.properties import PROPERTIES
 from stonecove.explore.scope import SMALL, WALK
 from stonecove.explore.search import Crew, Options
@@ -152,9 +152,9 @@
     try:
         with Crew(1) as crew:
             for scope in SMALL:
-                hunt.explore(scope.with_bounds(depth=min(depth, scope.depth)), crew, Options())
-            hunt.explore_channel(crew)
-        hunt.explore_codecs()
+                mutation_run.explore(scope.with_bounds(depth=min(depth, scope.depth)), crew, Options())
+            mutation_run.explore_channel(crew)
+        mutation_run.explore_codecs()
         done = Walks()
         for chance in range(3):
             walk(world_start(WALK), WALK, chance, 1500, done)
--- a/stonecove/explore/trace.py
+++ b/stonecove/explore/trace.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from stonecove.explore import seeds
+from stonecove.explore import mutations
 from stonecove.explore.machine import Machine, Violation
 from stonecove.explore.properties import PROPERTIES
 from stonecove.explore.scope import ANSWERS, Scope
@@ -160,7 +160,7 @@
 
 def world_start(scope: Scope, seed: str = "") -> Start:
     """Plants the seed in this process, and gives what starts a world of that scope."""
-    seeds.plant(seed)
+    mutations.plant(seed)
 
     def start() -> Machine:
         return World(scope)
--- a/stonecove/explore/world.py
+++ b/stonecove/explore/world.py
@@ -12,7 +12,7 @@
 
 from stonecove.choice import Ring, part_key
 from stonecove.explore import scope as bounds
-from stonecove.explore.fingerprint import encode_world
+from stonecove.explore.fingerprint import encode_state
 from stonecove.explore.machine import Violation
 from stonecove.explore.peers import ClientSession, ClientSocket, ServerChannel, request_bytes
 from stonecove.explore.properties import Witness
@@ -818,7 +818,7 @@
 
     def encode(self) -> bytes:
         """The state in its canonical form."""
-        return encode_world(self)
+        return encode_state(self)
 
 
 _current: World | None = None
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 import pytest
-from stonecove.explore import hunt, scope, search, seeds
+from stonecove.explore import mutation_run, mutations, scope, search
 from stonecove.explore.copying import DeepCopy, Pickle, Replay, Way, run
 from stonecove.explore.fingerprint import all_parts, check_fields
 from stonecove.explore.properties import PROPERTIES
@@ -61,8 +61,8 @@
 
 def explored(one: scope.Scope, processes: int = 4, seed: str = "", **options: object) -> Result:
     with Crew(processes) as crew:
-        result = hunt.explore(one, crew, Options(**options), seed)  # type: ignore[arg-type]
-    seeds.plant("")
+        result = mutation_run.explore(one, crew, Options(**options), seed)  # type: ignore[arg-type]
+    mutations.plant("")
     return result
 
 
@@ -226,14 +226,16 @@
 
 
 def test_every_seeded_fault_is_found_and_every_property_broken_by_one() -> None:
-    found = hunt.catch_all([seed.name for seed in seeds.SEEDS], min(8, os.cpu_count() or 1))
+    found = mutation_run.catch_all(
+        [mutation.name for mutation in mutations.MUTATIONS], min(8, os.cpu_count() or 1)
+    )
     wrong = [
         (one.name, one.crash or one.found)
         for one in found
         if one.found is None or one.found.violation.prop != one.breaks
     ]
     assert not wrong
-    assert len(seeds.SEEDS) >= 20
+    assert len(mutations.MUTATIONS) >= 20
     assert {one.breaks for one in found} == set(PROPERTIES)
 
 
@@ -250,7 +252,7 @@
 
 
 def test_walks_hold_and_are_the_same_each_time() -> None:
-    one, other = hunt.wander(5, 2, 900), hunt.wander(5, 2, 900)
+    one, other = mutation_run.wander(5, 2, 900), mutation_run.wander(5, 2, 900)
     assert not one.found and one.steps > 1000
     assert one.words == other.words
 
@@ -269,7 +271,7 @@
         assert mended.play()[1] == []
         assert "nothing is broken" in mended.story()
     finally:
-        seeds.plant("")
+        mutations.plant("")
 
 
 def test_a_trace_is_shrunk_kept_and_told(tmp_path: Path) -> None:
@@ -293,7 +295,7 @@
         path = tmp_path / "trace.json"
         path.write_text(trace.to_json())
     finally:
-        seeds.plant("")
+        mutations.plant("")
     done = stonecove("explore", "replay", str(path), "--chart", str(tmp_path / "chart.svg"))
     assert done.returncode == 1 and "broken: run-is-run" in done.stdout, done.stderr
     assert "<svg" in (tmp_path / "chart.svg").read_text()
