--- a/stonecove/explore/fingerprint/__init__.py
+++ b/stonecove/explore/fingerprint/__init__.py
@@ -15,10 +15,10 @@
 
 from stonecove.explore.fingerprint.common import Frame, Ledger, fields_of
 from stonecove.explore.fingerprint.decision import DECISION, encode_director
-from stonecove.explore.fingerprint.peers import PEERS, encode_server, encode_surroundings, encode_witness
+from stonecove.explore.fingerprint.peers import PEERS, encode_server, encode_surroundings, encode_observer
 from stonecove.explore.fingerprint.proxy import PROXY, encode_proxy
-from stonecove.explore.fingerprint.state import RouterState
 from stonecove.explore.fingerprint.transport import TRANSPORT, encode_timers
+from stonecove.explore.model.state import ModelState
 
 LEDGER: Ledger = {**DECISION, **PROXY, **TRANSPORT, **PEERS}
 
@@ -41,24 +41,26 @@
     return xxhash.xxh3_64_intdigest(data)
 
 
-def encode_state(state: RouterState) -> bytes:
+def encode_state(state: ModelState) -> bytes:
     """The canonical form of the whole state."""
-    frame = Frame(state.now, state.route.requests)
-    servers = [encode_server(channel, state, frame) for channel in state.channels]
+    harness = state.harness
+    frame = Frame(harness.now, harness.route.requests)
+    servers = [encode_server(channel, harness, frame) for channel in harness.channels]
     encoded = (
-        encode_proxy(state.route, state.budget, frame),
+        encode_proxy(harness.route, harness.budget, frame),
         tuple(sorted(servers, key=lambda server: server[0])),
-        encode_timers(state.timers, state.t, frame),
-        encode_director(state.route._director, frame),
+        encode_timers(harness.timers, harness.t, frame),
+        encode_director(harness.route._director, frame),
         encode_surroundings(state, frame),
-        encode_witness(state.witness, state, frame),
+        encode_observer(harness.observer, harness.route, frame),
     )
     return marshal.dumps(encoded, 2)
 
 
-def all_parts(state: RouterState) -> list[object]:
+def all_parts(state: ModelState) -> list[object]:
     """The objects of the state whose classes the ledger lists, to check their fields."""
-    route = state.route
+    harness, session = state.harness, state.clients.session
+    route = harness.route
     director = route._director
     found: list[object] = [
         route,
@@ -69,10 +71,10 @@
         route.requests,
         route.nodes,
         route.purges,
-        state.budget,
-        state.timers,
-        state.session,
-        state.session._decoder,
+        harness.budget,
+        harness.timers,
+        session,
+        session._decoder,
         director,
         director._popularity,
         director._purges,
@@ -81,7 +83,7 @@
     ]
     for request in route.requests:
         found += [request, *request.attempts]
-    for channel in state.channels:
+    for channel in harness.channels:
         found += [channel, channel.sock, channel.link, channel.decoder]
     for held in director._held.values():
         found += [held, *held.attempts]
--- a/stonecove/explore/fingerprint/decision.py
+++ b/stonecove/explore/fingerprint/decision.py
@@ -26,7 +26,7 @@
             "_caches": DERIVED,
             "_pause": FIXED,
             "_handlers": FIXED,
-            "handle": "replaced by the observer",
+            "handle": "wrapped for the observer",
         },
     ),
     choice.Held: Fields(
--- a/stonecove/explore/fingerprint/peers.py
+++ b/stonecove/explore/fingerprint/peers.py
@@ -5,96 +5,120 @@
 from typing import Any
 
 from stonecove.explore.fingerprint.common import DERIVED, WIRING, Fields, Frame, Ledger
-from stonecove.explore.fingerprint.state import RouterState
 from stonecove.explore.fingerprint.transport import encode_channel, encode_session
+from stonecove.explore.model.change_log import ChangeLog
+from stonecove.explore.model.clients import Clients
+from stonecove.explore.model.endpoints import Endpoints
+from stonecove.explore.model.harness import Harness
+from stonecove.explore.model.state import ModelState
 from stonecove.explore.peers import LinkSocket, ServerChannel
-from stonecove.explore.properties import Seen, Witness
+from stonecove.explore.properties import ObservedAttempt, ObservedRequest, Observer, RequestState
+from stonecove.stages.route import Route
+
+EVENT_HEAD = 13  # bytes of an event of the change log before its payload
 
 PEERS: Ledger = {
     ServerChannel: Fields(
-        "process until silent sock asked aborted done numbers halfway",
-        {"link": WIRING, "world": WIRING, "last": DERIVED, "owed": DERIVED},
+        "process until silent sock asked aborted done numbers unsent",
+        {"link": WIRING, "observer": WIRING, "last": DERIVED, "partial": DERIVED},
     ),
-    LinkSocket: Fields("room dead _midway", {"_world": WIRING, "_channel": WIRING, "_command": DERIVED}),
+    LinkSocket: Fields("room end _remaining", {"_observer": WIRING, "_channel": WIRING, "_command": DERIVED}),
 }
 
 
-def encode_server(channel: ServerChannel, state: RouterState, frame: Frame) -> tuple[Any, ...]:
+def encode_server(channel: ServerChannel, harness: Harness, frame: Frame) -> tuple[Any, ...]:
     """A connection to a modelled cache: the router's end, its socket, and what the cache knows."""
     sock, node = channel.sock, channel.link.node
     return (
         node,
         channel.process,
-        round(channel.until - state.t, 6),
+        round(channel.until - harness.t, 6),
         channel.silent,
         *encode_channel(channel, frame),
         -1 if sock.room is None else sock.room,
-        sock.dead,
-        sock._midway,
+        "" if sock.end is None else sock.end.value,
+        sock._remaining,
         tuple(sorted(channel.asked)),
         tuple(sorted(channel.aborted)),
         tuple(sorted(dict.fromkeys(channel.done))),
         tuple(sorted(channel.numbers.items())),
-        channel.halfway,
-        any(link is channel.link for link in state.route.send._links.get(node, ())),
+        channel.unsent,
+        any(link is channel.link for link in harness.route.send._links.get(node, ())),
     )
 
 
-def encode_surroundings(state: RouterState, frame: Frame) -> tuple[Any, ...]:
+def encode_surroundings(state: ModelState, frame: Frame) -> tuple[Any, ...]:
     """The client connection, the endpoint list, the change log, and the limits of the run."""
-    members = tuple(
-        (node, name, int(node_state), frame.time(started))
-        for node, (name, node_state, started) in sorted(state.members.items())
-    )
+    harness = state.harness
     return (
-        _client(state, frame),
-        members,
-        _change_log(state),
-        tuple(sorted(state.processes.items())),
-        tuple(state.requests),
+        _client(state.clients, frame),
+        _members(state.endpoints, frame),
+        _change_log(state.change_log, "repeat" in state.scope.kinds),
+        tuple(sorted(state.endpoints.processes.items())),
+        tuple((request.cls, request.progress.value) for request in state.clients.requests),
         state.faults,
-        round(state.term_at - state.t, 6),
-        state.expired,
+        round(harness.term_at - harness.t, 6),
+        harness.expired,
     )
 
 
-def _client(state: RouterState, frame: Frame) -> tuple[Any, ...]:
-    session = state.session
+def _client(clients: Clients, frame: Frame) -> tuple[Any, ...]:
+    session = clients.session
     return (
         *encode_session(session, frame),
         session.closing,
         session.finished,
         -1 if session.sock.room is None else session.sock.room,
         session.sock.gone,
-        tuple(sorted(state.heads.items())),
+        tuple(sorted(clients.heads.items())),
+    )
+
+
+def _members(endpoints: Endpoints, frame: Frame) -> tuple[Any, ...]:
+    return tuple(
+        (node, member.name, int(member.state), frame.time(member.started))
+        for node, member in sorted(endpoints.members.items())
     )
 
 
-def _change_log(state: RouterState) -> tuple[Any, ...]:
-    log, follower = state.log, state.follower
+def _change_log(log: ChangeLog, may_repeat: bool) -> tuple[Any, ...]:
+    """What the router has not received yet; and the last event, where it may be sent again."""
+    follower = log.follower
     return (
-        state.log_up,
-        state.log_skips,
-        len(log) - follower.last,
+        log.up,
+        log.skips,
+        len(log.frames) - follower.last,
         follower._jumped - follower.last,
         follower._from_start,
-        tuple(log[follower.last :]),
-        log[-1][13:] if "repeat" in state.scope.kinds else b"",
+        tuple(log.frames[follower.last :]),
+        log.frames[-1][EVENT_HEAD:] if may_repeat else b"",
     )
 
 
-def encode_witness(witness: Witness, state: RouterState, frame: Frame) -> tuple[Any, ...]:
+def encode_observer(observer: Observer, route: Route, frame: Frame) -> tuple[Any, ...]:
     """What the observer has to remember of purges and requests."""
-    purges = tuple((frame.time(told), frame.time(at), group, key) for told, at, group, key in witness.purges)
-    return (purges, tuple(_seen(txn, seen, state, frame) for txn, seen in witness.seen.items()))
+    purges = tuple(
+        (frame.time(purge.notified_at), frame.time(purge.purged_at), purge.group, purge.key)
+        for purge in observer.purges
+    )
+    requests = tuple(_request(txn, request, route, frame) for txn, request in observer.requests.items())
+    return (purges, requests)
+
 
+def _request(txn: str, request: ObservedRequest, route: Route, frame: Frame) -> tuple[Any, ...]:
+    if request.state is not RequestState.OPEN and route.requests._txns.get(txn) is None:
+        return (txn, request.state.value, 0.0, (), ())  # nothing that follows depends on the rest
+    attempts = tuple(_attempt(attempt, frame) for attempt in request.attempts)
+    history = (tuple(request.ended), request.orders, tuple(sorted(request.codes.items())))
+    return (txn, request.state.value, frame.time(request.due), attempts, history)
 
-def _seen(txn: str, seen: Seen, state: RouterState, frame: Frame) -> tuple[Any, ...]:
-    if seen.state != "open" and state.route.requests._txns.get(txn) is None:
-        return (txn, seen.state, 0.0, (), ())  # nothing that follows depends on a request that is over
-    sent = tuple(
-        (sent.number, sent.node, frame.time(sent.at), sent.purges, sent.not_run, sent.over)
-        for sent in seen.sent
+
+def _attempt(attempt: ObservedAttempt, frame: Frame) -> tuple[Any, ...]:
+    return (
+        attempt.number,
+        attempt.node,
+        frame.time(attempt.sent_at),
+        attempt.known_purges,
+        attempt.not_run,
+        attempt.over,
     )
-    history = (tuple(seen.ended), seen.orders, tuple(sorted(seen.words.items())))
-    return (txn, seen.state, frame.time(seen.due), sent, history)
--- /dev/null
+++ b/stonecove/explore/model/change_log.py
@@ -0,0 +1,136 @@
+"""The change log of the router model: events on nodes and purges, and a connection that can be cut."""
+
+from __future__ import annotations
+
+import struct
+
+from stonecove.explore.model.endpoints import Endpoints
+from stonecove.explore.model.harness import Harness
+from stonecove.explore.properties import ObservedPurge
+from stonecove.interface import NodeState
+from stonecove.membership import MembersTold, PurgeTold, Told
+from stonecove.wire.buffer import Buffer
+from stonecove.wire.changelog import Follower, frames
+
+PURGED_GROUP = 3
+COMPLETE_LIST, CHANGED_NODES, OBJECT_PURGE, GROUP_PURGE = 1, 2, 3, 4  # kinds of events
+
+_HEAD = struct.Struct(">IQB")
+_HEAD_SIZE_COUNTED = 9  # bytes of the head that the length of a frame counts
+_BUFFER = 1 << 16
+
+
+class ChangeLog:
+    """All events so far, and the follower through which the router receives them."""
+
+    def __init__(self, harness: Harness, endpoints: Endpoints) -> None:
+        self._harness = harness
+        self._endpoints = endpoints
+        self.follower = Follower(0)
+        self.frames: list[bytes] = []  # by number, from 1 on
+        self.up = True
+        self.skips = False  # the next event comes under a number too high
+        self.received = 0  # events that the follower has passed on
+        self._append_nodes(COMPLETE_LIST, list(endpoints.nodes))
+
+    # -- events --
+
+    def _append(self, kind: int, payload: bytes) -> None:
+        number = len(self.frames) + 1
+        length = _HEAD_SIZE_COUNTED + len(payload)
+        self.frames.append(_HEAD.pack(length, number, kind) + payload)
+        if not self.up:
+            return
+        if self.skips:
+            self.skips = False
+            if self._deliver(_HEAD.pack(length, number + 1, kind) + payload):
+                return
+        self._catch_up()
+
+    def _append_nodes(self, kind: int, names: list[str]) -> None:
+        self._append(kind, b"".join(map(self._endpoints.record, names)))
+
+    def _change_node(self, name: str, state: NodeState, started: float | None = None) -> None:
+        self._endpoints.set_state(name, state, started)
+        self._append_nodes(CHANGED_NODES, [name])
+
+    def drain(self, name: str) -> None:
+        """A node begins to drain."""
+        self._change_node(name, NodeState.DRAINING)
+
+    def undrain(self, name: str) -> None:
+        """A draining node is ready again."""
+        self._change_node(name, NodeState.READY)
+
+    def remove(self, name: str) -> None:
+        """A node is gone."""
+        self._change_node(name, NodeState.GONE)
+
+    def restart(self, name: str) -> None:
+        """A node has started anew."""
+        self._change_node(name, NodeState.READY, round(self._harness.now))
+
+    def replace(self, name: str) -> None:
+        """A node is gone, and a new one has its address."""
+        new_name = self._endpoints.replace(name)
+        self._append_nodes(CHANGED_NODES, [name, new_name])
+
+    def join(self) -> None:
+        """A new cache joins."""
+        self._append_nodes(CHANGED_NODES, [self._endpoints.join(round(self._harness.now))])
+
+    def purge(self, key: int) -> None:
+        """An object is purged."""
+        self._append(OBJECT_PURGE, struct.pack(">QQ", key, round(self._harness.now)))
+
+    def purge_group(self) -> None:
+        """A group of objects is purged."""
+        self._append(GROUP_PURGE, struct.pack(">HQ", PURGED_GROUP, round(self._harness.now)))
+
+    # -- the connection --
+
+    def cut(self) -> None:
+        """The connection to the change log breaks."""
+        self.up = False
+
+    def reconnect(self) -> None:
+        """The router is connected again, and receives what it has missed."""
+        self.up = True
+        self._catch_up()
+
+    def repeat(self) -> None:
+        """The last event is sent again."""
+        self._deliver(self.frames[-1])
+
+    def skip(self) -> None:
+        """The next event will come under a number too high, as if one had been missed."""
+        self.skips = True
+
+    def _catch_up(self) -> None:
+        (last,) = struct.unpack(">Q", self.follower.hello())
+        for frame in self.frames[last:]:
+            self._deliver(frame)
+
+    def _deliver(self, data: bytes) -> bool:
+        """Hands a frame to the follower; False if it wants to connect anew."""
+        buffer = Buffer(_BUFFER)
+        buffer.feed(data)
+        return all(self.follower.take(frame, self) for frame in frames(buffer))
+
+    def told(self, event: Told) -> None:
+        """The follower's callback: passes an event to the observer, then to the router."""
+        self.received += 1
+        observer = self._harness.observer
+        if isinstance(event, MembersTold):
+            observer.endpoints_received(tuple(member.node for member in event.members), event.whole)
+        elif isinstance(event, PurgeTold):
+            observer.purge_received(ObservedPurge(self._harness.now, event.time, event.group, event.key))
+        self._harness.route.told(event)
+
+    def check_followed(self) -> None:
+        """Checks that the router has received each event once, while it is connected."""
+        if self.up and not self.follower.last == self.received == len(self.frames):
+            self._harness.violated(
+                "log-followed",
+                f"{len(self.frames)} events, {self.received} told, last {self.follower.last}",
+            )
--- /dev/null
+++ b/stonecove/explore/model/clients.py
@@ -0,0 +1,209 @@
+"""The clients of the router model: the requests of the scope, over one FastCGI connection."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, replace
+from enum import StrEnum
+
+from stonecove.choice import Ring, part_key
+from stonecove.explore import scope as bounds
+from stonecove.explore.model.endpoints import FIRST_CACHE
+from stonecove.explore.model.harness import Harness
+from stonecove.explore.peers import ClientRequestFields, ClientSession, ClientSocket, request_bytes
+from stonecove.explore.properties import RequestState, Verdict
+from stonecove.explore.scope import CACHE, CLASSES, Scope
+from stonecove.interface import Effect, Node, NodeState, Request
+from stonecove.stages.admit import MARGIN
+from stonecove.stages.route import BACKSTOP
+from stonecove.wire import fastcgi
+
+TTL = 400.0  # milliseconds that clients wait
+BODY = b"b" * 8
+ETAG = "aa11"  # the tag of every copy
+IDEMPOTENCY_KEY = "k1"
+
+_STATUS_LINE = len("Status: 200")
+_VERDICTS = {
+    "Status: 200": Verdict.SERVED,
+    "Status: 503": Verdict.REFUSED,
+    "Status: 502": Verdict.FAILED,
+}
+
+
+class Progress(StrEnum):
+    """How far a client is with a request of the scope."""
+
+    UNASKED = "unasked"
+    ASKED = "asked"
+    RETRIED = "retried"  # the client has asked again, by a request of its own
+
+
+@dataclass(frozen=True, slots=True)
+class ClientRequest:
+    """A request of the scope."""
+
+    cls: str
+    progress: Progress = Progress.UNASKED
+
+
+def txn_id(place: int) -> str:
+    """The id of the request at a place in the scope."""
+    return f"{place + 1:016x}"
+
+
+def place_of(txn: str) -> int:
+    """The place in the scope of the request of that id."""
+    return int(txn, 16) - 1
+
+
+def _object_key(cls: str, caches: tuple[int, ...]) -> int:
+    """The least object of the class whose caches in hash order are those, so that c1 is always its home."""
+    ring = Ring([Node(node, CACHE, 0.0, NodeState.READY, 0, 1, 1.0) for node in caches], False)
+    key = 1000 * (1 + bounds.ORDER.index(cls))
+    while ring.order(part_key(Request(1, 0, key, 0.0, 0.0, 0, 0))) != caches:
+        key += 1
+    return key
+
+
+class Clients:
+    """The client connection and the requests on it."""
+
+    def __init__(self, harness: Harness, scope: Scope) -> None:
+        self._harness = harness
+        self._scope = scope
+        self.requests = [ClientRequest(cls) for cls in scope.requests]
+        self.heads: dict[int, bytes] = {}  # the part of each answer that has arrived, by FastCGI id
+        self.session = self._open_session()
+        caches = tuple(FIRST_CACHE + place for place in range(scope.caches))
+        self._objects = {cls: _object_key(cls, caches) for cls in set(scope.requests)}
+
+    def _open_session(self) -> ClientSession:
+        harness = self._harness
+        return ClientSession(
+            ClientSocket(self._record_received), harness.front, harness.clock.now, harness.budget
+        )
+
+    def purged_object(self) -> int:
+        """The object that a purge strikes: that of the first class which is cached at all."""
+        cached = [cls for cls in self._scope.requests if not CLASSES[cls].never_kept]
+        return self._objects[cached[0] if cached else self._scope.requests[0]]
+
+    def _record_received(self, kind: int, ident: int, content: bytes) -> None:
+        """A FastCGI record has reached the client."""
+        if kind == fastcgi.STDOUT:
+            self.heads[ident] = self.heads.get(ident, b"") + content
+        elif kind == fastcgi.END:
+            answer = self.heads.pop(ident, b"")
+            if answer:
+                self._answer_received(ident, answer)
+            elif content[4] == fastcgi.OVERLOADED:
+                self._harness.observer.client_answered(txn_id(ident - 1), Verdict.REFUSED, b"")
+            # otherwise it is the end of a request that was aborted
+
+    def _answer_received(self, ident: int, answer: bytes) -> None:
+        head, _, body = answer.partition(b"\r\n\r\n")
+        verdict = _VERDICTS.get(head.decode("latin-1")[:_STATUS_LINE], Verdict.FAILED)
+        if b"X-Notmod" in head:
+            verdict = Verdict.UNCHANGED
+        self._harness.observer.client_answered(txn_id(ident - 1), verdict, body)
+
+    # -- steps --
+
+    def ask(self, place: int) -> None:
+        """A request comes in, on a new connection if the last one has ended."""
+        cls = self.requests[place].cls
+        self._set_progress(place, Progress.ASKED)
+        txn, harness = txn_id(place), self._harness
+        deadline = min(harness.now + TTL - MARGIN, harness.route.admit.latest)
+        harness.observer.request_received(txn, cls, deadline + BACKSTOP)
+        if self.session.finished:
+            self.session = self._open_session()
+        settings = CLASSES[cls]
+        request = ClientRequestFields(
+            cls=cls,
+            txn=txn,
+            item=self._objects[cls],
+            ttl=TTL,
+            etag=ETAG if self._scope.seen and not settings.never_kept else None,
+            body=BODY if settings.never_kept else b"",
+            idempotency_key=IDEMPOTENCY_KEY if settings.effect is Effect.KEYED else None,
+        )
+        self.session.feed(request_bytes(place + 1, request))
+
+    def abort(self, place: int) -> None:
+        """The client aborts a request."""
+        if (self.session, place + 1) in self._harness.front._open:
+            self._harness.observer.client_left(txn_id(place))
+        # otherwise the abort crosses an answer that is on its way
+        self.session.feed(fastcgi.record(fastcgi.ABORT, place + 1))
+
+    def retry(self, place: int) -> None:
+        """The client sends an answered request once more, under a new id."""
+        self._set_progress(place, Progress.RETRIED)
+        self.requests.append(ClientRequest(self.requests[place].cls))
+        self.ask(len(self.requests) - 1)
+
+    def _set_progress(self, place: int, progress: Progress) -> None:
+        self.requests[place] = replace(self.requests[place], progress=progress)
+
+    def leave(self) -> None:
+        """The client closes its connection."""
+        self.session.sock.gone = True
+        self.session.closing = True
+        self._harness.observer.all_clients_left()
+
+    def stall(self) -> None:
+        """The client accepts no bytes."""
+        self.session.sock.room = 0
+
+    def unstall(self) -> None:
+        """The client accepts bytes again."""
+        self.session.unstall()
+
+    def end_session(self) -> None:
+        """The router ends the client connection."""
+        self.session.finished = True
+        self._harness.observer.all_clients_left()
+        self.session.ended()
+
+    # -- which steps are enabled --
+
+    def enabled(self, fault_allowed: bool) -> list[str]:
+        """The steps of requests, in the order of the scope."""
+        steps = []
+        for place, request in enumerate(self.requests):
+            if request.progress is Progress.UNASKED:
+                if self._may_ask(place):
+                    steps.append(f"ask {place}")
+            elif fault_allowed:
+                steps += self._faults_of(place, request)
+        return steps
+
+    def _may_ask(self, place: int) -> bool:
+        """Equal requests come in the order of the scope, on a connection that is not about to end."""
+        first = self.requests[place] not in self.requests[:place]
+        return first and (self.session.finished or not self.session.closing) and not self._harness.expired
+
+    def _faults_of(self, place: int, request: ClientRequest) -> list[str]:
+        observed = self._harness.observer.requests.get(txn_id(place))
+        if observed is None or self.session.closing:
+            return []
+        kinds, steps = self._scope.kinds, []
+        if "abort" in kinds and observed.state is RequestState.OPEN:
+            steps.append(f"abort {place}")
+        retried_none = len(self.requests) == len(self._scope.requests)
+        answered = observed.state is RequestState.ANSWERED and request.progress is Progress.ASKED
+        if "retry" in kinds and answered and retried_none:
+            steps.append(f"retry {place}")
+        return steps
+
+    def connection_faults(self) -> list[str]:
+        """The faults of the client connection that may be injected now."""
+        if self.session.closing:
+            return []
+        kinds, steps = self._scope.kinds, []
+        if "leave" in kinds and self._harness.observer.requests:
+            steps.append("leave")
+        if "stall" in kinds and not self.session.stalled():
+            steps.append("stall")
+        return steps
--- /dev/null
+++ b/stonecove/explore/model/steps.py
@@ -0,0 +1,210 @@
+"""The steps of the router model: which may be taken, what each does, and which parts it touches.
+
+A step is a text: a word, then its arguments, such as the name of a connection and the place of a request.
+"""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Callable
+
+from stonecove.explore.model.clients import txn_id
+from stonecove.explore.model.state import ModelState
+from stonecove.explore.scope import ALL_FAULTS, ANSWERS, FREE
+from stonecove.interface import NodeState
+
+DIGITS = "0123456789"
+
+# What each word does, but for the answers of caches (`ANSWERS`) and for `choke`, which has a number in it.
+ACTIONS: dict[str, Callable[..., None]] = {
+    # time and the router's own turns
+    "wait": lambda state: state.harness.wait(),
+    "fire": lambda state: state.harness.run_timers(),
+    "decide": lambda state: state.harness.decide(),
+    "expire": lambda state: state.harness.expire(),
+    "end": lambda state, name: state.caches.end(name),
+    "notup": lambda state, name: state.caches.give_up_connecting(name),
+    "endsession": lambda state: state.clients.end_session(),
+    # clients
+    "ask": lambda state, place: state.clients.ask(int(place)),
+    "abort": lambda state, place: state.clients.abort(int(place)),
+    "retry": lambda state, place: state.clients.retry(int(place)),
+    "leave": lambda state: state.clients.leave(),
+    "stall": lambda state: state.clients.stall(),
+    "unstall": lambda state: state.clients.unstall(),
+    # connections to caches
+    "up": lambda state, name: state.caches.establish(name),
+    "refuse": lambda state, name: state.caches.refuse(name),
+    "never": lambda state, name: state.caches.never_establish(name),
+    "lack": lambda state, name: state.caches.lack_descriptor(name),
+    "flush": lambda state, name: state.caches.flush(name),
+    "reset": lambda state, name: state.caches.reset(name),
+    "hangup": lambda state, name: state.caches.hang_up(name),
+    # answers that are faults of the cache
+    "second": lambda state, name, place: state.caches.answer_again(name, int(place)),
+    "stray": lambda state, name: state.caches.answer_unknown(name),
+    "spoil": lambda state, name, place: state.caches.answer_unreadable(name, int(place)),
+    "half": lambda state, name, place: state.caches.answer_half_and_reset(name, int(place)),
+    "trickle": lambda state, name, place: state.caches.answer_half(name, int(place)),
+    "rest": lambda state, name: state.caches.answer_rest(name),
+    # the endpoint list and its change log
+    "drain": lambda state, name: state.change_log.drain(name),
+    "back": lambda state, name: state.change_log.undrain(name),
+    "gone": lambda state, name: state.change_log.remove(name),
+    "restart": lambda state, name: state.change_log.restart(name),
+    "replace": lambda state, name: state.change_log.replace(name),
+    "join": lambda state: state.change_log.join(),
+    "purge": lambda state: state.change_log.purge(state.clients.purged_object()),
+    "purgeall": lambda state: state.change_log.purge_group(),
+    "cut": lambda state: state.change_log.cut(),
+    "mend": lambda state: state.change_log.reconnect(),
+    "repeat": lambda state: state.change_log.repeat(),
+    "gap": lambda state: state.change_log.skip(),
+    # the router's limits
+    "term": lambda state: state.harness.terminate(),
+    "reload": lambda state: state.harness.limit_links(1),
+    "nomem": lambda state: state.harness.exhaust_memory(),
+    "nocpu": lambda state: state.harness.exhaust_cpu(),
+    "nolinks": lambda state: state.harness.limit_links(state.harness.route.send.links()),
+    "relief": lambda state: state.harness.restore_limits(),
+}
+
+# The part that the steps of a word stay within, where they never reach the decision module.
+PARTS = {"stall": "client", "cut": "log", "gap": "log", "nocpu": "cpu", "nomem": "budget", "reload": "limit"}
+
+
+def split(step: str) -> tuple[str, list[str]]:
+    """The word of a step and its arguments."""
+    word, *arguments = step.split()
+    return word, arguments
+
+
+def apply(state: ModelState, step: str) -> None:
+    """Carries out one step, and counts it if it is a fault."""
+    word, arguments = split(step)
+    if word in ANSWERS:
+        state.faults -= word not in FREE
+        state.caches.answer(word, arguments[0], int(arguments[1]))
+        return
+    kind = word.rstrip(DIGITS)
+    if kind in ALL_FAULTS:
+        state.faults -= 1
+    if kind == "choke":
+        state.caches.choke(arguments[0], int(word.removeprefix(kind)))
+    else:
+        ACTIONS[word](state, *arguments)
+
+
+# -- which steps are enabled --
+
+
+def router_steps(state: ModelState) -> list[str]:
+    """The router's own turns that come before any time passes."""
+    harness, session = state.harness, state.clients.session
+    steps = state.caches.router_steps()
+    if session.closing and not session.finished:
+        steps.append("endsession")
+    if harness.route._undecided:
+        steps.append("decide")
+    if harness.timers.next_due() <= harness.t:
+        steps.append("fire")
+    if harness.t >= harness.term_at and not harness.expired:
+        steps.append("expire")
+    return steps
+
+
+def enabled_steps(state: ModelState) -> list[str]:
+    """All steps that may be taken now, always in the same order for the same state."""
+    fault_allowed = state.faults > 0
+    steps = router_steps(state)
+    if not steps and not state.harness.idle():
+        steps.append("wait")
+    steps += state.clients.enabled(fault_allowed)
+    for channel in state.harness.channels:
+        steps += state.caches.enabled(channel, fault_allowed)
+    if fault_allowed:
+        steps += _node_faults(state)
+        steps += _change_log_faults(state)
+        steps += state.clients.connection_faults()
+        steps += _limit_faults(state)
+    steps += _recoveries(state)
+    return steps
+
+
+def _node_faults(state: ModelState) -> list[str]:
+    steps = []
+    kinds = state.scope.kinds
+    for name in state.scope.targets:
+        if name not in state.endpoints.nodes:
+            continue
+        node_state = state.endpoints.state_of(name)
+        if node_state is NodeState.READY:
+            possible: tuple[str, ...] = ("drain", "gone", "replace", "restart")
+        elif node_state is NodeState.DRAINING:
+            possible = ("gone", "back")
+        else:
+            possible = ()
+        steps += [f"{kind} {name}" for kind in possible if kind in kinds]
+    return steps
+
+
+def _change_log_faults(state: ModelState) -> list[str]:
+    possible = ["join"]
+    if state.change_log.up:
+        possible += ["cut", "repeat"]
+        if not state.change_log.skips:
+            possible.append("gap")
+    possible += ["purge", "purgeall"]
+    return [kind for kind in possible if kind in state.scope.kinds]
+
+
+def _limit_faults(state: ModelState) -> list[str]:
+    possible = ["term"] if state.harness.term_at == math.inf else []
+    possible += ["reload", "nomem", "nocpu", "nolinks"]
+    return [kind for kind in possible if kind in state.scope.kinds]
+
+
+def _recoveries(state: ModelState) -> list[str]:
+    steps, session = [], state.clients.session
+    if not state.change_log.up:
+        steps.append("mend")
+    if state.scope.relief and state.harness.strained():
+        steps.append("relief")
+    if session.stalled() and not session.closing:
+        steps.append("unstall")
+    return steps
+
+
+# -- which parts a step touches --
+
+
+def touched_parts(state: ModelState, step: str) -> frozenset[str] | None:
+    """The parts that a step stays within: a connection, the client's socket, the log, one of the limits.
+
+    None for a step that may reach the decision module, which touches everything. The last fault that is left
+    disables all other faults, so with one left they touch each other.
+    """
+    word, arguments = split(step)
+    kind = word.rstrip(DIGITS)
+    part = _touched_channel(state, kind, arguments) or PARTS.get(kind)
+    if part is None:
+        return None
+    if kind in ALL_FAULTS and state.faults < 2:
+        return frozenset((part, "faults"))
+    return frozenset((part,))
+
+
+def _touched_channel(state: ModelState, kind: str, arguments: list[str]) -> str | None:
+    """The name of the connection that a step stays within; None if there is no such connection."""
+    if kind in ("up", "flush"):
+        confined = state.caches.commands_will_go(state.harness.channel(arguments[0]))
+    elif kind in ("choke", "never", "stray"):
+        confined = True
+    elif kind in ("reset", "hangup"):
+        confined = state.scope.fine  # the router notices in a step of its own
+    elif kind == "second":
+        txn = txn_id(int(arguments[1]))
+        confined = txn not in state.harness.channel(arguments[0]).link.open
+    else:
+        confined = False
+    return arguments[0] if confined else None
--- a/stonecove/explore/peers.py
+++ b/stonecove/explore/peers.py
@@ -1,11 +1,13 @@
-"""The peers of the router in the explorer: sockets, clients and servers that do what they are told."""
+"""The sockets, client connections and cache connections of the router model, driven by steps."""
 
 from __future__ import annotations
 
 import re
 import struct
 from collections.abc import Callable
-from typing import TYPE_CHECKING
+from dataclasses import dataclass
+from enum import StrEnum
+from typing import Protocol
 
 from stonecove.memory.budget import Budget
 from stonecove.stages.send import Link
@@ -13,111 +15,148 @@
 from stonecove.wire.channel import Channel
 from stonecove.wire.session import Handler, Session
 
-if TYPE_CHECKING:
-    from stonecove.explore.world import World
-
-_TXN = re.compile(rb"\*4\r\n\$5\r\nfetch\r\n\$16\r\n([0-9a-f]{16})\r\n\$\d+\r\n([^\r]*)\r\n")
+_FETCH = re.compile(rb"\*4\r\n\$5\r\nfetch\r\n\$16\r\n([0-9a-f]{16})\r\n\$\d+\r\n([^\r]*)\r\n")
 _ABORT = re.compile(rb"\*2\r\n\$5\r\nabort\r\n\$16\r\n([0-9a-f]{16})\r\n")
 _RECORD = struct.Struct(">BBHHBB")
 
 
+class SocketEnd(StrEnum):
+    """How a cache has ended a connection; the router may not have noticed yet."""
+
+    CLOSED = "closed"
+    RESET = "reset"
+
+
+class ChannelObserver(Protocol):
+    """Who is told what happens on the connections to caches."""
+
+    def violated(self, prop: str, why: str) -> None:
+        """A property does not hold."""
+
+    def fetch_started(self, channel: ServerChannel, txn: str, fields: dict[str, str]) -> None:
+        """The first byte of a fetch is written."""
+
+
+@dataclass(frozen=True, slots=True)
+class PartialAnswer:
+    """An answer of which the first half was sent."""
+
+    txn: str
+    body: bytes
+    born: float  # Unix milliseconds
+
+
 class LinkSocket:
-    """The router's end of a connection to a server."""
+    """The router's end of a connection to a cache."""
 
-    def __init__(self, world: World, channel: ServerChannel) -> None:
-        self._world = world
+    def __init__(self, observer: ChannelObserver, channel: ServerChannel) -> None:
+        self._observer = observer
         self._channel = channel
-        self.room: int | None = None  # bytes that it still takes; None: any number
-        self.dead = ""  # why it is over, though the router may not have noticed: closed, reset
-        self._midway = b""  # of the command under way, what is still to come
-        self._command = b""  # all of it
+        self.room: int | None = None  # bytes that it still accepts; None: any number
+        self.end: SocketEnd | None = None
+        self._remaining = b""  # what is still to be written of the command in progress
+        self._command = b""  # the complete command in progress
 
     def send(self, data: bytes | memoryview, /) -> int:
-        """Takes bytes, and has the world look at each command as its first byte goes out."""
-        if self.dead == "reset":
+        """Accepts bytes, and reports each command when its first byte is written."""
+        if self.end is SocketEnd.RESET:
             raise ConnectionResetError("reset by the server")
         count = len(data) if self.room is None else min(self.room, len(data))
         if not count:
             raise BlockingIOError
         if self.room is not None:
             self.room -= count
-        first = not self._midway
-        if first and self.dead:
-            self._world.witness.broken("not-into-ended", "a command begins after the server's end")
-        if not first and bytes(data) != self._midway:
-            self._world.witness.broken("order-kept", "a command is not written to its end")
-        if first:
+        starts = not self._remaining
+        if starts and self.end:
+            self._observer.violated("not-into-ended", "a command begins after the server's end")
+        if not starts and bytes(data) != self._remaining:
+            self._observer.violated("order-kept", "a command is not written to its end")
+        if starts:
             self._command = bytes(data)
-        self._midway = bytes(data[count:])
-        if first and (found := _TXN.match(bytes(data))):
-            self._world.first_byte(self._channel, found[1].decode(), resp.fields_of(found[2]))
-        if not self._midway and not self.dead:
-            self._channel.whole(self._command)
+        self._remaining = bytes(data[count:])
+        if starts and (found := _FETCH.match(bytes(data))):
+            self._observer.fetch_started(self._channel, found[1].decode(), resp.fields_of(found[2]))
+        if not self._remaining and not self.end:
+            self._channel.command_received(self._command)
         return count
 
     def recv(self, count: int, flags: int, /) -> bytes:
-        """A look at what is there: only the end is of interest."""
-        if self.dead == "reset":
+        """Peeks at the socket: only its end can be seen, since answers are delivered by steps."""
+        if self.end is SocketEnd.RESET:
             raise ConnectionResetError("reset by the server")
-        if self.dead:
+        if self.end:
             return b""
         raise BlockingIOError
 
 
 class ServerChannel(Channel):
-    """A connection to a server, its I/O played by the world."""
+    """A connection to a cache, with its I/O driven by the model."""
 
-    def __init__(self, world: World, link: Link, process: int, until: float) -> None:
-        super().__init__(link, world.clock.now)
+    def __init__(
+        self,
+        observer: ChannelObserver,
+        link: Link,
+        clock: Callable[[], float],
+        process: int,
+        until: float,
+    ) -> None:
+        super().__init__(link, clock)
         self.link = link
-        self.world = world
-        self.until = until  # the second at which connecting is given up
-        self.process = process  # the process that listened at the address when it was dialled
-        self.silent = False  # it never comes up
-        self.sock = LinkSocket(world, self)
-        self.asked: list[str] = []  # ids that the server has whole and has not answered
-        self.aborted: list[str] = []  # ids among them that were given up
-        self.done: list[str] = []  # ids that it has answered
-        self.last: dict[str, bytes] = {}  # by id: its last answer
-        self.numbers: dict[str, int] = {}  # by id: the attempt that it has
-        self.halfway = b""  # the rest of an answer under way
-        self.owed = ("", b"", 0.0)  # and what it says: id, bytes, birth
+        self.observer = observer
+        self.until = until  # the second at which the router gives up connecting
+        self.process = process  # the node that listened at the address when it was dialled
+        self.silent = False  # the connection will never be established
+        self.sock = LinkSocket(observer, self)
+        self.asked: list[str] = []  # ids of requests that the cache has received and not answered
+        self.aborted: list[str] = []  # ids among them that the router has aborted
+        self.done: list[str] = []  # ids that the cache has answered
+        self.last: dict[str, bytes] = {}  # by id: the last answer
+        self.numbers: dict[str, int] = {}  # by id: the number of the attempt
+        self.unsent = b""  # the second half of an answer in progress
+        self.partial: PartialAnswer | None = None  # and the answer that it belongs to
 
     def _stop(self) -> None:
-        pass  # the world sees that it is over, and tells the owner in a step of its own
+        pass  # the owner is notified of the end by a step of its own
 
-    def whole(self, command: bytes) -> None:
-        """A command has reached the server whole."""
-        text = command if command.startswith(b"*") else b""
-        if found := _TXN.match(text):
+    def command_received(self, command: bytes) -> None:
+        """A complete command has reached the cache."""
+        if found := _FETCH.match(command):
             self.asked.append(found[1].decode())
-        elif (found := _ABORT.match(text)) and (txn := found[1].decode()) in self.asked:
+        elif (found := _ABORT.match(command)) and (txn := found[1].decode()) in self.asked:
             self.aborted.append(txn)
 
+    def answered(self, txn: str, data: bytes) -> None:
+        """The cache has answered a request."""
+        self.asked.remove(txn)
+        if txn in self.aborted:
+            self.aborted.remove(txn)
+        self.done.append(txn)
+        self.last[txn] = data
+
     def deliver(self, data: bytes) -> None:
-        """Bytes from the server have come in; what can't be read ends the connection."""
+        """Hands in bytes from the cache; bytes that can't be read end the connection."""
         try:
             self.buffer.feed(data)
             self.received()
         except resp.RespError as error:
             self.over = True
             self._why = str(error)
-        except Exception as error:  # the program would tell of a bug, and end the connection
-            self.world.witness.broken("no-slip", repr(error))
+        except Exception as error:  # the router would log a bug and end the connection
+            self.observer.violated("no-slip", repr(error))
             self.over = True
 
 
 class ClientSocket:
-    """The router's end of a client connection; what is written is read as FastCGI at once."""
+    """The router's end of a client connection; what is written is decoded as FastCGI at once."""
 
-    def __init__(self, told: Callable[[int, int, bytes], None]) -> None:
-        self._told = told
-        self.room: int | None = None
+    def __init__(self, record_received: Callable[[int, int, bytes], None]) -> None:
+        self._record_received = record_received  # called with type, id and content
+        self.room: int | None = None  # bytes that it still accepts; None: any number
         self._data = b""
         self.gone = False
 
     def send(self, data: bytes | memoryview, /) -> int:
-        """Takes bytes, and tells of each record that is whole."""
+        """Accepts bytes, and reports each complete record."""
         if self.gone:
             raise ConnectionResetError("reset by the client")
         count = len(data) if self.room is None else min(self.room, len(data))
@@ -132,16 +171,16 @@
             if len(self._data) < end:
                 break
             content, self._data = self._data[_RECORD.size : _RECORD.size + length], self._data[end:]
-            self._told(kind, ident, content)
+            self._record_received(kind, ident, content)
         return count
 
     def recv(self, count: int, flags: int, /) -> bytes:
-        """Nothing is there: what clients send is handed in by steps."""
+        """Never has data: what clients send is handed in by steps."""
         raise BlockingIOError
 
 
 class ClientSession(Session):
-    """A client connection, its I/O played by the world."""
+    """A client connection, with its I/O driven by the model."""
 
     def __init__(
         self, sock: ClientSocket, handler: Handler, clock: Callable[[], float], budget: Budget
@@ -152,15 +191,25 @@
         self.finished = False
 
     def close(self) -> None:
-        """The router ends it; the world tells so in a step of its own."""
+        """The router ends the connection; a step of its own carries that out."""
         self.closing = True
 
     def _stop_reading(self) -> None:
         if not self._full:
             self.closing = True
 
+    def stalled(self) -> bool:
+        """Whether the client accepts no bytes."""
+        return self.sock.room is not None
+
+    def unstall(self) -> None:
+        """The client accepts bytes again."""
+        self.sock.room = None
+        if self._full:
+            self.writable()
+
     def feed(self, data: bytes) -> None:
-        """Bytes from the client have come in."""
+        """Hands in bytes from the client."""
         self._buffer.feed(data)
         try:
             self.received()
@@ -168,29 +217,41 @@
             self.closing = True
 
 
-def request_bytes(
-    ident: int, cls: str, txn: str, item: str, ttl: float, seen: str, body: bytes, token: str = ""
-) -> bytes:
-    """The records of a whole request."""
+@dataclass(frozen=True, slots=True)
+class ClientRequestFields:
+    """What a client sends in a request."""
+
+    cls: str
+    txn: str
+    item: int  # the key of the object
+    ttl: float  # milliseconds that the client waits
+    etag: str | None  # the tag of the copy that the client has
+    body: bytes
+    idempotency_key: str | None
+
+
+def request_bytes(ident: int, request: ClientRequestFields) -> bytes:
+    """The FastCGI records of a complete request."""
     pairs = {
-        "SCRIPT_NAME": f"/svc/{cls}",
-        "HTTP_X_TXN": txn,
-        "HTTP_X_TTL_MS": f"{ttl:.0f}",
-        "HTTP_X_ROW": item,
+        "SCRIPT_NAME": f"/svc/{request.cls}",
+        "HTTP_X_TXN": request.txn,
+        "HTTP_X_TTL_MS": f"{request.ttl:.0f}",
+        "HTTP_X_ROW": f"{request.item:016x}",
         "HTTP_X_BUCKET": "3",
         "HTTP_X_WORKING_SET_KB": "10",
     }
-    if seen:
-        pairs["HTTP_X_ETAG"] = seen
-    if token:
-        pairs["HTTP_X_TXN_KEY"] = token
+    if request.etag is not None:
+        pairs["HTTP_X_ETAG"] = request.etag
+    if request.idempotency_key is not None:
+        pairs["HTTP_X_TXN_KEY"] = request.idempotency_key
     params = b"".join(
         bytes((len(name), len(value))) + name.encode() + value.encode() for name, value in pairs.items()
     )
+    body = fastcgi.record(fastcgi.STDIN, ident, request.body) if request.body else b""
     return (
         fastcgi.record(fastcgi.BEGIN, ident, struct.pack(">HB5x", fastcgi.RESPONDER, fastcgi.KEEP_CONN))
         + fastcgi.record(fastcgi.PARAMS, ident, params)
         + fastcgi.record(fastcgi.PARAMS, ident)
-        + (fastcgi.record(fastcgi.STDIN, ident, body) if body else b"")
+        + body
         + fastcgi.record(fastcgi.STDIN, ident)
     )
--- a/stonecove/explore/properties.py
+++ b/stonecove/explore/properties.py
@@ -1,12 +1,13 @@
-"""What must hold in every state, each property a unit with its source.
+"""The properties that must hold in every state, each with its source, and the observer that checks them.
 
-The `Witness` sees only what passes on the sockets, what the list has told, and the two borders of the
-decision module. What it concludes about an attempt is its own: it asks nothing of the stages' books.
+The `Observer` sees only the traffic on the sockets, the endpoint list, and the events and actions of the
+decision module. It never reads the router's own tables, so that an error there can't hide itself.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from enum import StrEnum
 from typing import NamedTuple
 
 from stonecove.explore.machine import Violation
@@ -102,88 +103,147 @@
 }
 
 
+class RequestState(StrEnum):
+    """Where a request is, as its client sees it."""
+
+    OPEN = "open"
+    ANSWERED = "answered"
+    LEFT = "left"  # its client has stopped waiting
+    LOST = "lost"  # it was reported as overdue
+
+
+class Verdict(StrEnum):
+    """The kind of answer that a client has received."""
+
+    SERVED = "served"
+    UNCHANGED = "unchanged"  # the client's own copy is still good
+    REFUSED = "refused"
+    FAILED = "failed"
+
+
 @dataclass(slots=True)
-class Sent:
-    """An attempt as the sockets saw it: from its first byte on."""
+class ObservedAttempt:
+    """An attempt whose first byte was seen on a socket."""
 
     number: int
     node: int
-    at: float
-    purges: int = 0  # how many purges were told before
-    not_run: bool = False  # the cache itself said so
+    sent_at: float  # Unix milliseconds
+    known_purges: int = 0  # how many purges the router had been notified of before
+    not_run: bool = False  # the cache itself said that it did not run the request
     over: bool = False
 
 
+@dataclass(frozen=True, slots=True)
+class ObservedCopy:
+    """The copy in an answer that has reached the router. Times are Unix milliseconds."""
+
+    born: float
+    sent_at: float  # the first byte of the attempt
+    known_purges: int
+
+
+@dataclass(frozen=True, slots=True)
+class ObservedPurge:
+    """A purge that the router was notified of. Times are Unix milliseconds."""
+
+    notified_at: float
+    purged_at: float
+    group: int
+    key: int  # 0 for a purge of the whole group
+
+
 @dataclass(slots=True)
-class Seen:
+class ObservedRequest:
     """A request as its client sees it."""
 
     cls: str
-    due: float = 0.0
-    state: str = "unasked"  # open, answered, left, lost
-    sent: list[Sent] = field(default_factory=list)
-    ended: list[int] = field(default_factory=list)  # attempts whose end the module was told
+    due: float  # Unix milliseconds by which it must be answered
+    state: RequestState = RequestState.OPEN
+    attempts: list[ObservedAttempt] = field(default_factory=list)
+    ended: list[int] = field(default_factory=list)  # attempts that the decision module was told have ended
     orders: int = 0
-    # By bytes: born, first byte out, and how many purges were told before that.
-    births: dict[bytes, tuple[float, float, int]] = field(default_factory=dict)
-    words: dict[int, str] = field(default_factory=dict)  # by attempt: the word that reached the router
+    copies: dict[bytes, ObservedCopy] = field(default_factory=dict)  # by the body of the answer
+    codes: dict[int, str] = field(default_factory=dict)  # by attempt: the answer code that reached the router
+
+    def attempt(self, number: int) -> ObservedAttempt | None:
+        """The attempt of that number, if its first byte was seen."""
+        return next((attempt for attempt in self.attempts if attempt.number == number), None)
 
 
-class Witness:
-    """Watches a run and notes what must not be."""
+MOST_VIOLATIONS = 8  # further ones of the same run are not recorded
+TOLERANCE = 1.0  # ms by which rounding may move a time
+NOT_RUN_CODES = ("404", "503", "504")
+COPY_CODES = ("200", "304")
+OUTCOME_OF_CODE = {"404": Outcome.MISS, "503": Outcome.FULL, "504": Outcome.MOOT}
+UNSENT_OUTCOMES = (Outcome.CONNECT_FAILED, Outcome.MOOT, Outcome.CANCELLED)
+NOT_RUN_OUTCOMES = (Outcome.MISS, Outcome.FULL, Outcome.MOOT, Outcome.CONNECT_FAILED)
+
+
+class Observer:
+    """Watches a run and records which properties are violated."""
 
     def __init__(self, classes: dict[str, ClassSettings], most_attempts: int) -> None:
         self._classes = classes
-        self._most = most_attempts
+        self._most_attempts = most_attempts
         self.violations: list[Violation] = []
         self.nodes: dict[int, Node] = {}
-        self.purges: list[tuple[float, float, int, int]] = []  # told at, purged at, group, object
-        self.seen: dict[str, Seen] = {}
+        self.purges: list[ObservedPurge] = []
+        self.requests: dict[str, ObservedRequest] = {}
 
-    def broken(self, prop: str, why: str) -> None:
-        """Notes a violation."""
+    def violated(self, prop: str, why: str) -> None:
+        """Records a violation of the property of that name."""
         assert prop in PROPERTIES, prop
-        if len(self.violations) < 8:
+        if len(self.violations) < MOST_VIOLATIONS:
             self.violations.append(Violation(prop, why))
 
-    # -- what the list tells --
+    # -- the change log --
 
-    def listed(self, nodes: tuple[Node, ...], whole: bool) -> None:
-        """The router has been told of nodes."""
-        if whole:
+    def endpoints_received(self, nodes: tuple[Node, ...], complete: bool) -> None:
+        """The router was sent a complete list of nodes, or the nodes that have changed."""
+        if complete:
             self.nodes = {}
         for node in nodes:
             self.nodes[node.node] = node
 
+    def purge_received(self, purge: ObservedPurge) -> None:
+        """The router was notified of a purge."""
+        self.purges.append(purge)
+
     def _ready(self, node: int) -> bool:
         return node in self.nodes and self.nodes[node].state is NodeState.READY
 
-    # -- what goes out --
+    # -- attempts on sockets --
 
-    def first_byte(self, txn: str, number: int, node: int, source: int | None, now: float) -> None:
-        """The first byte of an attempt goes out."""
-        seen = self.seen[txn]
+    def first_byte_sent(self, txn: str, number: int, node: int, source: int | None, now: float) -> None:
+        """The first byte of an attempt was written to the socket of a node."""
+        request = self.requests[txn]
+        self._check_targets(request, number, node, source)
+        self._check_repetition(request, number, node, now)
+        request.attempts.append(ObservedAttempt(number, node, now, len(self.purges)))
+        if len(request.attempts) > self._most_attempts:
+            self.violated("allowed-attempts", f"{len(request.attempts)} attempts of {request.cls} on sockets")
+
+    def _check_targets(self, request: ObservedRequest, number: int, node: int, source: int | None) -> None:
         if not self._ready(node):
-            self.broken("no-drained", f"attempt {number} of {seen.cls} goes to s-{node:08x}")
+            self.violated("no-drained", f"attempt {number} of {request.cls} goes to s-{node:08x}")
         if source is not None and not self._ready(source):
-            self.broken("no-drained-source", f"attempt {number} of {seen.cls} is filled from s-{source:08x}")
-        if any(sent.number == number for sent in seen.sent):
-            self.broken("no-repeat", f"attempt {number} of {seen.cls} is written twice")
-        cls = self._classes[seen.cls]
-        for sent in seen.sent:
+            self.violated(
+                "no-drained-source", f"attempt {number} of {request.cls} is filled from s-{source:08x}"
+            )
+
+    def _check_repetition(self, request: ObservedRequest, number: int, node: int, now: float) -> None:
+        name, cls = request.cls, self._classes[request.cls]
+        if request.attempt(number) is not None:
+            self.violated("no-repeat", f"attempt {number} of {name} is written twice")
+        for sent in request.attempts:
             if sent.not_run or cls.effect is Effect.SAFE:
                 continue
             if cls.effect is Effect.UNSAFE:
-                self.broken(
-                    "no-repeat", f"attempt {number} of {seen.cls} goes out; {sent.number} may have run"
-                )
+                self.violated("no-repeat", f"attempt {number} of {name} goes out; {sent.number} may have run")
             elif not self._same_group(cls, sent.node, node):
-                self.broken("no-repeat", f"attempt {number} of {seen.cls} leaves the group of {sent.number}")
-            elif now - sent.at > cls.window + 1.0:
-                self.broken("no-repeat", f"attempt {number} of {seen.cls} goes out after its window")
-        seen.sent.append(Sent(number, node, now, len(self.purges)))
-        if len(seen.sent) > self._most:
-            self.broken("allowed-attempts", f"{len(seen.sent)} attempts of {seen.cls} on sockets")
+                self.violated("no-repeat", f"attempt {number} of {name} leaves the group of {sent.number}")
+            elif now - sent.sent_at > cls.window + TOLERANCE:
+                self.violated("no-repeat", f"attempt {number} of {name} goes out after its window")
 
     def _same_group(self, cls: ClassSettings, one: int, other: int) -> bool:
         if cls.group is KeyGroup.ALL or one == other:
@@ -192,108 +252,113 @@
             return self.nodes[one].zone == self.nodes[other].zone
         return self.nodes[one].cell == self.nodes[other].cell
 
-    # -- what comes back --
-
-    def word(self, txn: str, number: int, word: str, body: bytes, born: float) -> None:
-        """An answer to an attempt that is out has reached the router; it may be the second of its kind."""
-        seen = self.seen[txn]
-        sent = next((sent for sent in seen.sent if sent.number == number), None)
-        if sent is None or number in seen.words:
+    def answer_received(self, txn: str, number: int, code: str, body: bytes, born: float) -> None:
+        """An answer to an attempt has reached the router; only the first to each attempt counts."""
+        request = self.requests[txn]
+        attempt = request.attempt(number)
+        if attempt is None or number in request.codes:
             return
-        seen.words[number] = word
-        sent.not_run = word in ("404", "503", "504")
-        sent.over = True
-        if word in ("200", "304"):
-            seen.births[body] = born, sent.at, sent.purges
-
-    # -- the borders of the decision module --
-
-    def ordered(self, txn: str) -> None:
-        """The module has ordered an attempt."""
-        seen = self.seen[txn]
-        seen.orders += 1
-        if seen.orders > self._most:
-            self.broken("allowed-attempts", f"{seen.orders} orders for {seen.cls}")
-
-    def ended(self, txn: str, number: int, outcome: Outcome) -> None:
-        """The module is told of the end of an attempt."""
-        seen = self.seen[txn]
-        if number in seen.ended:
-            self.broken("ends-once", f"attempt {number} of {seen.cls} ends again as {outcome.name}")
-        seen.ended.append(number)
-        sent = next((sent for sent in seen.sent if sent.number == number), None)
-        if sent is None:
-            if outcome not in (Outcome.CONNECT_FAILED, Outcome.MOOT, Outcome.CANCELLED):
-                self.broken(
-                    "unrun-is-unrun",
-                    f"attempt {number} of {seen.cls} ends as {outcome.name}, and was never written",
-                )
+        request.codes[number] = code
+        attempt.not_run = code in NOT_RUN_CODES
+        attempt.over = True
+        if code in COPY_CODES:
+            request.copies[body] = ObservedCopy(born, attempt.sent_at, attempt.known_purges)
+
+    # -- the decision module --
+
+    def attempt_ordered(self, txn: str) -> None:
+        """The decision module has ordered an attempt."""
+        request = self.requests[txn]
+        request.orders += 1
+        if request.orders > self._most_attempts:
+            self.violated("allowed-attempts", f"{request.orders} orders for {request.cls}")
+
+    def attempt_ended(self, txn: str, number: int, outcome: Outcome) -> None:
+        """The decision module was notified of the end of an attempt."""
+        request = self.requests[txn]
+        name = f"attempt {number} of {request.cls}"
+        if number in request.ended:
+            self.violated("ends-once", f"{name} ends again as {outcome.name}")
+        request.ended.append(number)
+        attempt = request.attempt(number)
+        if attempt is None:
+            if outcome not in UNSENT_OUTCOMES:
+                self.violated("unrun-is-unrun", f"{name} ends as {outcome.name}, and was never written")
             return
-        word = seen.words.get(number, "")
-        proof = {"404": Outcome.MISS, "503": Outcome.FULL, "504": Outcome.MOOT}.get(word)
-        if (
-            outcome in (Outcome.MISS, Outcome.FULL, Outcome.MOOT, Outcome.CONNECT_FAILED)
-            and outcome is not proof
-        ):
-            self.broken(
-                "run-is-run", f"attempt {number} of {seen.cls} was written and ends as {outcome.name}"
-            )
-        if outcome is not proof:
-            sent.not_run = False
-        sent.over = True
+        proven = OUTCOME_OF_CODE.get(request.codes.get(number, ""))
+        if outcome in NOT_RUN_OUTCOMES and outcome is not proven:
+            self.violated("run-is-run", f"{name} was written and ends as {outcome.name}")
+        if outcome is not proven:
+            attempt.not_run = False
+        attempt.over = True
 
     # -- the client's side --
 
-    def taken(self, txn: str, cls: str, now: float, due: float) -> None:
-        """A request has come in whole."""
-        self.seen[txn] = Seen(cls, due, "open")
-
-    def left(self, txn: str) -> None:
-        """Its client stops waiting."""
-        if self.seen[txn].state == "open":
-            self.seen[txn].state = "left"
-
-    def answered(self, txn: str, verdict: str, body: bytes, now: float) -> None:
-        """Its client has a whole answer: served, unchanged, refused or failed."""
-        seen = self.seen[txn]
-        if seen.state == "left":
-            self.broken("none-to-left", f"{verdict} to {seen.cls}, whose client has left")
-        elif seen.state != "open":
-            self.broken("one-answer", f"{verdict} to {seen.cls}, which is {seen.state}")
-        seen.state = "answered"
-        cls = self._classes[seen.cls]
-        if verdict == "refused":
-            unsure = [sent for sent in seen.sent if not sent.not_run]
-            if unsure and (
-                cls.effect is Effect.UNSAFE or (cls.effect is Effect.KEYED and cls.group is not KeyGroup.ALL)
-            ):
-                self.broken(
-                    "harmless-refusal", f"{seen.cls} is refused; attempt {unsure[0].number} may have run"
-                )
-        if verdict not in ("served", "unchanged"):
-            return
-        if body not in seen.births:
-            self.broken("as-made", f"{seen.cls} is served {body[:24]!r}, which no cache made for it")
+    def request_received(self, txn: str, cls: str, due: float) -> None:
+        """A complete request has reached the router; it must be answered by `due` (Unix milliseconds)."""
+        self.requests[txn] = ObservedRequest(cls, due)
+
+    def client_left(self, txn: str) -> None:
+        """The client of a request stops waiting."""
+        if self.requests[txn].state is RequestState.OPEN:
+            self.requests[txn].state = RequestState.LEFT
+
+    def all_clients_left(self) -> None:
+        """The client connection has ended, and with it every open request."""
+        for txn in self.requests:
+            self.client_left(txn)
+
+    def open_requests(self) -> list[ObservedRequest]:
+        """The requests whose clients still wait."""
+        return [request for request in self.requests.values() if request.state is RequestState.OPEN]
+
+    def client_answered(self, txn: str, verdict: Verdict, body: bytes) -> None:
+        """The client of a request has received a complete answer."""
+        request = self.requests[txn]
+        if request.state is RequestState.LEFT:
+            self.violated("none-to-left", f"{verdict} to {request.cls}, whose client has left")
+        elif request.state is not RequestState.OPEN:
+            self.violated("one-answer", f"{verdict} to {request.cls}, which is {request.state}")
+        request.state = RequestState.ANSWERED
+        if verdict is Verdict.REFUSED:
+            self._check_refusal(request)
+        elif verdict in (Verdict.SERVED, Verdict.UNCHANGED):
+            self._check_copy(request, body)
+
+    def _check_refusal(self, request: ObservedRequest) -> None:
+        cls = self._classes[request.cls]
+        unsure = [attempt for attempt in request.attempts if not attempt.not_run]
+        bound_to_group = cls.effect is Effect.KEYED and cls.group is not KeyGroup.ALL
+        if unsure and (cls.effect is Effect.UNSAFE or bound_to_group):
+            self.violated(
+                "harmless-refusal", f"{request.cls} is refused; attempt {unsure[0].number} may have run"
+            )
+
+    def _check_copy(self, request: ObservedRequest, body: bytes) -> None:
+        if body not in request.copies:
+            self.violated("as-made", f"{request.cls} is served {body[:24]!r}, which no cache made for it")
             return
-        born, out, known = seen.births[body]
+        cls, copy = self._classes[request.cls], request.copies[body]
         if cls.never_kept:
             return
-        for told, purged, group, key in self.purges[:known]:
-            if born < purged - SLACK - 1.0:
-                name = f"object {key:x}" if key else f"group {group}"
-                self.broken(
-                    "no-purged",
-                    f"a copy born {purged - born:.0f} ms before the purge of {name}, told "
-                    f"{out - told:.0f} ms before its first byte",
-                )
-        if cls.fresh and born < out - cls.fresh - cls.stale - SLACK - 1.0:
-            self.broken("not-too-old", f"a copy {out - born:.0f} ms old")
-
-    def overdue(self, now: float) -> None:
-        """Looks whether an answer is late."""
-        for seen in self.seen.values():
-            if seen.state == "open" and now > seen.due + 0.01:
-                self.broken(
-                    "in-time", f"{seen.cls} has no answer {now - seen.due:.0f} ms after its last moment"
-                )
-                seen.state = "lost"
+        for purge in self.purges[: copy.known_purges]:
+            if copy.born < purge.purged_at - SLACK - TOLERANCE:
+                self._serves_purged(copy, purge)
+        if cls.fresh and copy.born < copy.sent_at - cls.fresh - cls.stale - SLACK - TOLERANCE:
+            self.violated("not-too-old", f"a copy {copy.sent_at - copy.born:.0f} ms old")
+
+    def _serves_purged(self, copy: ObservedCopy, purge: ObservedPurge) -> None:
+        name = f"object {purge.key:x}" if purge.key else f"group {purge.group}"
+        self.violated(
+            "no-purged",
+            f"a copy born {purge.purged_at - copy.born:.0f} ms before the purge of {name}, told "
+            f"{copy.sent_at - purge.notified_at:.0f} ms before its first byte",
+        )
+
+    def check_overdue(self, now: float) -> None:
+        """Records each open request whose answer is late at `now` (Unix milliseconds)."""
+        for request in self.open_requests():
+            if now > request.due + 0.01:
+                late = now - request.due
+                self.violated("in-time", f"{request.cls} has no answer {late:.0f} ms after its last moment")
+                request.state = RequestState.LOST
--- a/stonecove/explore/trace.py
+++ b/stonecove/explore/trace.py
@@ -9,10 +9,11 @@
 
 from stonecove.explore import mutations
 from stonecove.explore.machine import Machine, Violation
+from stonecove.explore.model.harness import START
+from stonecove.explore.model.router_model import RouterModel
 from stonecove.explore.properties import PROPERTIES
 from stonecove.explore.scope import ANSWERS, Scope
 from stonecove.explore.search import SETTLE, Start, Steps
-from stonecove.explore.world import START, World
 
 FORMAT = 1
 _WORDS = {
@@ -130,7 +131,7 @@
     def play(self) -> tuple[list[Told], list[Violation]]:
         """Takes the steps again, as far as they can be; tells each, and what is broken in the end."""
         machine = self.start()()
-        assert isinstance(machine, World)
+        assert isinstance(machine, RouterModel)
         told = []
         for step in self.steps:
             if step != SETTLE and step not in machine.enabled():
@@ -163,12 +164,12 @@
     mutations.plant(seed)
 
     def start() -> Machine:
-        return World(scope)
+        return RouterModel(scope)
 
     return start
 
 
-def in_words(world: World, step: str) -> str:
+def in_words(model: RouterModel, step: str) -> str:
     """A step as a sentence."""
     word, _, rest = step.partition(" ")
     args = rest.split()
@@ -176,7 +177,8 @@
         code, note = ANSWERS[word]
         return f"{args[0]}: answers request {args[1]} with {code}{f', {note}' if note else ''}"
     place = int(args[0]) if args and args[0].isdigit() else -1
-    cls = world.requests[place][0] if 0 <= place < len(world.requests) else ""
+    requests = model.state.clients.requests
+    cls = requests[place].cls if 0 <= place < len(requests) else ""
     return _WORDS.get(word, word).format(*args, cls=cls)
 
 
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -15,12 +15,12 @@
 from stonecove.explore import mutation_run, mutations, scope, search
 from stonecove.explore.copying import DeepCopy, Pickle, Replay, Way, run
 from stonecove.explore.fingerprint import all_parts, check_fields
+from stonecove.explore.model.router_model import RouterModel
 from stonecove.explore.properties import PROPERTIES
 from stonecove.explore.reach import HARD_CASES, HARD_STEPS
 from stonecove.explore.search import Crew, Options, Result
 from stonecove.explore.trace import Trace, shrink, world_start
 from stonecove.explore.visited import FingerprintSet, PlainSet
-from stonecove.explore.world import World
 
 ROOT = Path(__file__).parent.parent
 TRACES = sorted((Path(__file__).parent / "traces").glob("*.json"))
@@ -98,7 +98,7 @@
         ("stonecove.stages.route", ("trio",)),
         ("stonecove.wire.channel", ("trio",)),
         ("stonecove.wire.session", ("trio",)),
-        ("stonecove.explore.world", ("trio",)),
+        ("stonecove.explore.model.router_model", ("trio",)),
         (
             "stonecove.lifecycle.serve",
             ("click", "rich", "numpy", "xxhash", "stonecove.explore", "stonecove.commands"),
@@ -115,11 +115,11 @@
 
 def test_the_fingerprint_knows_every_field() -> None:
     one = scope.named(scope.SMALL, "links")
-    world = run(world_start(one), ("ask 0", "decide", "up c1.0", "wait", "fire"))
-    assert isinstance(world, World)
-    assert check_fields(all_parts(world)) == []
-    vars(world.route)["_new"] = 1
-    assert check_fields(all_parts(world)) == ["Route._new is not in the ledger of the fingerprint"]
+    model = run(world_start(one), ("ask 0", "decide", "up c1.0", "wait", "fire"))
+    assert isinstance(model, RouterModel)
+    assert check_fields(all_parts(model.state)) == []
+    vars(model.state.harness.route)["_new"] = 1
+    assert check_fields(all_parts(model.state)) == ["Route._new is not in the ledger of the fingerprint"]
 
 
 def test_states_are_told_apart_by_what_matters_alone() -> None:
