--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -37,6 +37,7 @@
 
 
 def make_class(**changes: Any) -> ClassSettings:
+    """A request class with default settings, changed by those given."""
     base = ClassSettings(
         name="pictures",
         worth=2.0,
@@ -56,6 +57,7 @@
 
 
 def make_settings(*classes: ClassSettings, **changes: Any) -> Settings:
+    """Settings of a fleet of two routers, changed by those given."""
     base = Settings(
         classes=classes or (make_class(),),
         zone=1,
@@ -93,6 +95,7 @@
 
 
 def make_endpoints() -> list[Node]:
+    """Four caches, two parents and an origin, all ready."""
     ready = NodeState.READY
     nodes = [Node(n, 0, 0.0, ready, n % 2, 1, 1.0) for n in CACHES]
     nodes += [Node(n, 1, 0.0, ready, 0, 0, 1.0) for n in PARENTS]
@@ -110,10 +113,12 @@
         self.handle(Listed(ListKind.CACHED, tuple(self.endpoints)))
 
     def handle(self, event: Event, wait: float = 0.0) -> list[Action]:
+        """Advances the clock by `wait` milliseconds and hands the event to the policy."""
         self.now += wait
         return self.routing_policy.handle(self.now, event)
 
     def request(self, key: int = 5, wait: float = 1.0, **changes: Any) -> list[Action]:
+        """A new request for an object, after `wait` milliseconds."""
         self.last_request_id += 1
         request = Request(self.last_request_id, 0, key, 4000.0, 100.0, 3, 0)
         return self.handle(request._replace(**changes), wait)
@@ -127,18 +132,21 @@
         attempt_index: int = 0,
         closed: bool | None = None,
     ) -> list[Action]:
-        connection_closed = outcome is Outcome.OK if closed is None else closed
+        """Ends an attempt after `wait` milliseconds; `closed` defaults to true for a successful one only."""
+        is_closed = outcome is Outcome.OK if closed is None else closed
         return self.handle(
-            Ended(attempt.req, attempt_index, attempt.node, outcome, wait, connection_closed, note, 0.0, ()),
+            Ended(attempt.req, attempt_index, attempt.node, outcome, wait, is_closed, note, 0.0, ()),
             wait,
         )
 
     def update_endpoint(self, node: int, kind: ListKind = ListKind.DELTA, **changes: Any) -> list[Action]:
+        """An endpoint list update with one of the original endpoints, changed as given."""
         entry = next(n for n in self.endpoints if n.node == node)
         return self.handle(Listed(kind, (entry._replace(**changes),)))
 
 
 def started_attempts(actions: list[Action]) -> list[Get]:
+    """The attempts that the actions start."""
     return [act for act in actions if isinstance(act, Get)]
 
 
--- a/tests/fake_change_log.py
+++ b/tests/fake_change_log.py
@@ -10,6 +10,29 @@
 from tcp_endpoints import TcpListener
 from waiting import wait_until
 
+HEARTBEAT, FULL_LIST, ENDPOINT_CHANGES, OBJECT_PURGE, GROUP_PURGE = range(5)  # event kinds
+UP, DRAINING, REMOVED = range(3)  # states in an endpoint record
+LOCALHOST = 0x7F000001
+
+
+def encode_endpoint(
+    endpoint_id: int,
+    port: int = 1,
+    state: int = UP,
+    zone: int = 0,
+    machine_type: int = 1,
+    weight: int = 9_000_000,
+    started_at: int = 0,
+) -> bytes:
+    """The record of an endpoint on this machine, in cell 0; `started_at` is in Unix milliseconds."""
+    fields = (endpoint_id, LOCALHOST, port, state, zone, machine_type, 0, weight, started_at)
+    return struct.pack(">IIHBBBHIQ", *fields)
+
+
+def encode_group_purge(group: int, purged_at: int) -> bytes:
+    """The payload of a group purge; `purged_at` is in Unix milliseconds."""
+    return struct.pack(">HQ", group, purged_at)
+
 
 class FakeChangeLog:
     """Records the sequence number each connection resumes from, and sends the events of the test."""
--- a/tests/fastcgi_client.py
+++ b/tests/fastcgi_client.py
@@ -9,6 +9,9 @@
 
 from waiting import TEST_TIMEOUT
 
+BEGIN_REQUEST, ABORT_REQUEST, END_REQUEST, PARAMS, STDIN, STDOUT = range(1, 7)  # record types
+GET_VALUES, GET_VALUES_RESULT, UNKNOWN_TYPE = range(9, 12)
+
 
 def fastcgi_record(kind: int, request_id: int, content: bytes = b"", padding: int = 0) -> bytes:
     """One FastCGI record of version 1."""
@@ -61,14 +64,14 @@
         params = name_value_pair("SCRIPT_NAME", path) + b"".join(
             name_value_pair(f"HTTP_{name}", value) for name, value in table.items() if value is not None
         )
-        stdin = fastcgi_record(5, request_id, body, padding) if body else b""
+        stdin = fastcgi_record(STDIN, request_id, body, padding) if body else b""
         return (
-            fastcgi_record(1, request_id, struct.pack(">HB5x", 1, 1))
-            + fastcgi_record(4, request_id, params[:20], padding)
-            + fastcgi_record(4, request_id, params[20:])
-            + fastcgi_record(4, request_id)
+            fastcgi_record(BEGIN_REQUEST, request_id, struct.pack(">HB5x", 1, 1))
+            + fastcgi_record(PARAMS, request_id, params[:20], padding)
+            + fastcgi_record(PARAMS, request_id, params[20:])
+            + fastcgi_record(PARAMS, request_id)
             + stdin
-            + fastcgi_record(5, request_id)
+            + fastcgi_record(STDIN, request_id)
         )
 
     def send_request(self, request_id: int = 1, **parameters: Any) -> None:
@@ -87,9 +90,9 @@
         """The next response that is complete, whatever its request id."""
         while True:
             kind, request_id, content = self.read_record()
-            if kind == 6:
+            if kind == STDOUT:
                 self._received[request_id] = self._received.get(request_id, b"") + content
-            elif kind == 3:
+            elif kind == END_REQUEST:
                 head, _, body = self._received.pop(request_id, b"").partition(b"\r\n\r\n")
                 lines = [line.split(": ", 1) for line in head.decode().split("\r\n") if line]
                 headers = {name: value for name, value in lines}
--- a/tests/router_harness.py
+++ b/tests/router_harness.py
@@ -7,7 +7,6 @@
 import queue
 import resource
 import signal
-import struct
 import subprocess
 import sys
 import tempfile
@@ -16,7 +15,7 @@
 from typing import Any
 
 from fake_cache import FakeCache, ReceivedCommand
-from fake_change_log import FakeChangeLog
+from fake_change_log import FakeChangeLog, encode_endpoint
 from fastcgi_client import FastCgiClient
 from tcp_endpoints import free_address
 from waiting import TEST_TIMEOUT, wait_until
@@ -127,18 +126,8 @@
 
     def endpoint_record(self, cache: FakeCache, state: int, started: int = 0, port: int = 0) -> bytes:
         """The record of a cache in an event of the change log."""
-        return struct.pack(
-            ">IIHBBBHIQ",
-            cache.endpoint_id,
-            0x7F000001,
-            port or cache.listener.port,
-            state,
-            1,
-            0,
-            0,
-            9_000_000,
-            started,
-        )
+        port = port or cache.listener.port
+        return encode_endpoint(cache.endpoint_id, port, state, zone=1, machine_type=0, started_at=started)
 
     def start(self) -> subprocess.Popen[bytes]:
         """Starts the program and waits until it is live or has ended."""
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -3,14 +3,20 @@
 from __future__ import annotations
 
 import json
-import struct
 import subprocess
 import sys
 from pathlib import Path
 from typing import Any
 
 import pytest
-from fake_change_log import FakeChangeLog
+from fake_change_log import (
+    DRAINING,
+    ENDPOINT_CHANGES,
+    GROUP_PURGE,
+    HEARTBEAT,
+    FakeChangeLog,
+    encode_group_purge,
+)
 from router_harness import SETTINGS, RouterHarness
 from socket_requests import is_rejection, request_objects
 from waiting import TEST_TIMEOUT
@@ -21,12 +27,12 @@
     client.send_request()
     fetch = router.next_command()
     assert router.change_log.resumed_from.get(timeout=TEST_TIMEOUT) == 1
-    router.change_log.send_event(2, 4, struct.pack(">HQ", 40, 1))
-    router.change_log.send_event(3, 0)  # and then it stays open and silent
+    router.change_log.send_event(2, GROUP_PURGE, encode_group_purge(40, 1))
+    router.change_log.send_event(3, HEARTBEAT)  # and then it stays open and silent
     changed = {**router.config, "changelog": f"127.0.0.1:{new.listener.port}"}
     router.reload(json.dumps(changed))
     assert new.resumed_from.get(timeout=TEST_TIMEOUT) == 2
-    new.send_event(3, 2, router.endpoint_record(router.caches[0], 1))
+    new.send_event(3, ENDPOINT_CHANGES, router.endpoint_record(router.caches[0], DRAINING))
     router.wait_until(lambda: len(router.log_lines("node")) == 5, "the next event")
     fetch.reply(body=b"went on")
     assert client.read_response().body == b"went on"
@@ -56,7 +62,7 @@
     changes = json.loads(text) if text.startswith('{"') else None
     router.reload(text if changes is None else json.dumps({**router.config, **changes}))
     router.wait_until(lambda: router.log_lines("reload-refused"), "a line of the log")
-    router.change_log.send_event(2, 2, router.endpoint_record(router.caches[0], 1))
+    router.change_log.send_event(2, ENDPOINT_CHANGES, router.endpoint_record(router.caches[0], DRAINING))
     router.wait_until(lambda: len(router.log_lines("node")) == 5, "an event by the old address")
     request_objects(router, router.connect(), 2)
     assert len(router.log_lines("reload-refused")) == 1
@@ -84,7 +90,7 @@
     )
     router.wait_until(lambda: router.log_lines("reload-refused"), "a line of the log")
     assert f"by its {part}" in router.log_lines("reload-refused")[0] and not router.log_lines("reloaded")
-    router.change_log.send_event(2, 2, router.endpoint_record(router.caches[0], 1))
+    router.change_log.send_event(2, ENDPOINT_CHANGES, router.endpoint_record(router.caches[0], DRAINING))
     router.wait_until(lambda: len(router.log_lines("node")) == 5, "an event by the old address")
     request_objects(router, router.connect(), 2)
     assert new.resumed_from.empty()
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -8,6 +8,17 @@
 
 import pytest
 from fake_cache import FakeCache
+from fake_change_log import (
+    DRAINING,
+    ENDPOINT_CHANGES,
+    FULL_LIST,
+    GROUP_PURGE,
+    HEARTBEAT,
+    REMOVED,
+    UP,
+    encode_endpoint,
+    encode_group_purge,
+)
 from router_harness import RouterHarness
 from socket_requests import request_objects
 from tcp_endpoints import UnresponsiveAddress
@@ -20,18 +31,20 @@
     client.send_request()
     fetch = router.next_command()
     others = [cache for cache in router.caches if cache is not fetch.cache]
-    router.change_log.send_event(2, 1, b"".join(router.endpoint_record(cache, 0) for cache in others))
+    router.change_log.send_event(
+        2, FULL_LIST, b"".join(router.endpoint_record(cache, UP) for cache in others)
+    )
     again = router.next_command()
     assert again.cache in others
     again.reply(body=b"elsewhere")
     assert client.read_response().body == b"elsewhere" and fetch.sock.recv(1) == b""
 
 
-@pytest.mark.parametrize("state", [1, 2])
+@pytest.mark.parametrize("state", [DRAINING, REMOVED])
 def test_no_new_attempt_at_a_draining_or_removed_cache(router: RouterHarness, state: int) -> None:
     client, (leaving, staying) = router.connect(), router.caches
     assert {fetch.cache for fetch in request_objects(router, client)} == {leaving, staying}
-    router.change_log.send_event(2, 2, router.endpoint_record(leaving, state))
+    router.change_log.send_event(2, ENDPOINT_CHANGES, router.endpoint_record(leaving, state))
     router.wait_until(lambda: len(router.log_lines("node")) == 5, "the change")
     assert {fetch.cache for fetch in request_objects(router, client)} == {staying}
 
@@ -39,8 +52,8 @@
 def test_draining_source_is_not_named_any_more(router: RouterHarness) -> None:
     client = router.connect()
     assert request_objects(router, client, 1)[0].fields["from"] == "s-00000020"
-    parent = struct.pack(">IIHBBBHIQ", 0x20, 0x7F000001, 1, 1, 0, 1, 0, 9_000_000, 0)
-    router.change_log.send_event(2, 2, parent)
+    parent = encode_endpoint(0x20, state=DRAINING)
+    router.change_log.send_event(2, ENDPOINT_CHANGES, parent)
     router.wait_until(lambda: len(router.log_lines("node")) == 5, "the change")
     assert request_objects(router, client, 1)[0].fields["from"] == "s-00000030"
 
@@ -50,9 +63,9 @@
     client, (old, _) = router.connect(), router.caches
     request_objects(router, client)
     assert old.listener.accepted
-    new = struct.pack(">IIHBBBHIQ", 0x99, 0x7F000001, old.listener.port, 0, 1, 0, 0, 9_000_000, 0)
+    new = encode_endpoint(0x99, old.listener.port, zone=1, machine_type=0)
     before = len(old.listener.accepted)
-    router.change_log.send_event(2, 2, router.endpoint_record(old, 2) + new)
+    router.change_log.send_event(2, ENDPOINT_CHANGES, router.endpoint_record(old, REMOVED) + new)
     router.wait_until(lambda: len(router.log_lines("node")) == 6, "the change")
     request_objects(router, client)
     assert len(old.listener.accepted) > before
@@ -62,7 +75,9 @@
     client, (old, _) = router.connect(), router.caches
     assert old in {fetch.cache for fetch in request_objects(router, client)}
     moved = FakeCache(old.endpoint_id, router.commands)
-    router.change_log.send_event(2, 2, router.endpoint_record(old, 0, port=moved.listener.port))
+    router.change_log.send_event(
+        2, ENDPOINT_CHANGES, router.endpoint_record(old, UP, port=moved.listener.port)
+    )
     router.wait_until(lambda: len(router.log_lines("node")) == 5, "the change")
     assert {fetch.cache for fetch in request_objects(router, client)} == {moved, router.caches[1]}
     moved.listener.close()
@@ -77,7 +92,7 @@
     client.send_request()
     fetch = router.next_command()
     router.change_log.send_event(
-        2, 2, router.endpoint_record(fetch.cache, 0, int(time.time() * 1000) + since)
+        2, ENDPOINT_CHANGES, router.endpoint_record(fetch.cache, UP, int(time.time() * 1000) + since)
     )
     router.wait_until(lambda: len(router.log_lines("node")) == 5, "the news")
     if lost:
@@ -90,17 +105,17 @@
 @pytest.mark.parametrize("failure", ["closed", "gap", "unreadable", "silent", "trickling"])
 def test_change_log_resumes_where_it_broke(router: RouterHarness, failure: str) -> None:
     assert router.change_log.resumed_from.get(timeout=TEST_TIMEOUT) == 1
-    purge = struct.pack(">HQ", 40, 1)
-    router.change_log.send_event(2, 4, purge)
-    router.change_log.send_event(2, 0)
+    purge = encode_group_purge(40, 1)
+    router.change_log.send_event(2, GROUP_PURGE, purge)
+    router.change_log.send_event(2, HEARTBEAT)
     if failure == "closed":
         router.change_log.listener.accepted[-1].shutdown(2)
     elif failure == "gap":
-        router.change_log.send_event(4, 4, purge)
+        router.change_log.send_event(4, GROUP_PURGE, purge)
     elif failure == "unreadable":
-        router.change_log.listener.accepted[-1].sendall(struct.pack(">IQB", 2, 3, 0))
+        router.change_log.listener.accepted[-1].sendall(struct.pack(">IQB", 2, 3, HEARTBEAT))
     elif failure == "trickling":
-        router.change_log.listener.accepted[-1].sendall(struct.pack(">IQB", 500, 3, 2))
+        router.change_log.listener.accepted[-1].sendall(struct.pack(">IQB", 500, 3, ENDPOINT_CHANGES))
 
         def given_up() -> bool:
             router.change_log.send_partial_frame_byte()
@@ -108,7 +123,7 @@
 
         router.wait_until(given_up, "an end of the trickling")
     assert router.change_log.resumed_from.get(timeout=TEST_TIMEOUT) == 2
-    router.change_log.send_event(3, 2, router.endpoint_record(router.caches[0], 1))
+    router.change_log.send_event(3, ENDPOINT_CHANGES, router.endpoint_record(router.caches[0], DRAINING))
     router.wait_until(lambda: len(router.log_lines("node")) == 5, "the next event")
 
 
@@ -116,12 +131,13 @@
     """The events in the gap, such as a drain or a purge, must not stay unknown."""
     for _ in range(2):  # the log no longer has event 2
         assert router.change_log.resumed_from.get(timeout=TEST_TIMEOUT) == 1
-        router.change_log.send_event(3, 4, struct.pack(">HQ", 40, 1))
+        router.change_log.send_event(3, GROUP_PURGE, encode_group_purge(40, 1))
     assert router.change_log.resumed_from.get(timeout=TEST_TIMEOUT) == 0
     nodes = b"".join(
-        router.endpoint_record(cache, state) for cache, state in zip(router.caches, (1, 0), strict=True)
+        router.endpoint_record(cache, state)
+        for cache, state in zip(router.caches, (DRAINING, UP), strict=True)
     )
-    router.change_log.send_event(3, 1, nodes)
+    router.change_log.send_event(3, FULL_LIST, nodes)
     router.wait_until(lambda: len(router.log_lines("node")) == 6, "the whole list")
 
 
@@ -132,7 +148,9 @@
     router = RouterHarness(limits=limits)  # time for the kernel to try again and again
     unresponsive, client, (slow, other) = UnresponsiveAddress(), router.connect(), router.caches
     router.change_log.send_event(
-        2, 2, router.endpoint_record(slow, 0, port=unresponsive.port) + router.endpoint_record(other, 1)
+        2,
+        ENDPOINT_CHANGES,
+        router.endpoint_record(slow, UP, port=unresponsive.port) + router.endpoint_record(other, DRAINING),
     )
     router.wait_until(lambda: len(router.log_lines("node")) == 6, "the first change")
     client.send_request(X_TTL_MS="30000")
@@ -140,7 +158,10 @@
     assert client.read_response().status == 404  # so the first request has been decided
     if event == "drain":
         router.change_log.send_event(
-            3, 2, router.endpoint_record(slow, 1, port=unresponsive.port) + router.endpoint_record(other, 0)
+            3,
+            ENDPOINT_CHANGES,
+            router.endpoint_record(slow, DRAINING, port=unresponsive.port)
+            + router.endpoint_record(other, UP),
         )
         router.next_command().reply(body=b"other")
         assert client.read_response().body == b"other"
@@ -149,11 +170,11 @@
             sock.settimeout(1.0)
             assert sock.recv(1) == b""  # it may end the connection, but sends nothing
     else:
-        parent = struct.pack(">IIHBBBHIQ", 0x20, 0x7F000001, 1, int(event == "source"), 0, 1, 0, 9_000_000, 0)
+        parent = encode_endpoint(0x20, state=DRAINING if event == "source" else UP)
         router.change_log.send_event(
-            3, 4, struct.pack(">HQ", 17 + (event == "source"), int(time.time() * 1000))
+            3, GROUP_PURGE, encode_group_purge(17 + (event == "source"), int(time.time() * 1000))
         )
-        router.change_log.send_event(4, 2, parent)
+        router.change_log.send_event(4, ENDPOINT_CHANGES, parent)
         router.wait_until(lambda: len(router.log_lines("node")) == 7, "the change after the purge")
         fields = unresponsive.accept_connection().recv(1000)
         assert (b"oldest=" in fields, b"from=s-00000030" in fields) == (event == "purge", event == "source")
@@ -164,11 +185,9 @@
 def test_unknown_events_and_endpoints_are_tolerated(router: RouterHarness) -> None:
     client, odd = router.connect(), struct.pack(">IIHBBBHIQ", 0x77, 0, 0, 9, 200, 200, 65535, 0, 2**64 - 1)
     for number in range(2, 9):
-        router.change_log.send_event(number, 2, odd + odd)
+        router.change_log.send_event(number, ENDPOINT_CHANGES, odd + odd)
     router.change_log.send_event(9, 77, b"?")
-    nodes = b"".join(router.endpoint_record(cache, 0) for cache in router.caches)
-    router.change_log.send_event(
-        10, 1, nodes + struct.pack(">IIHBBBHIQ", 0x30, 0x7F000001, 1, 0, 0, 2, 0, 9_000_000, 0)
-    )
+    nodes = b"".join(router.endpoint_record(cache, UP) for cache in router.caches)
+    router.change_log.send_event(10, FULL_LIST, nodes + encode_endpoint(0x30, machine_type=2))
     router.wait_until(lambda: len(router.log_lines("node")) == 4 + 14 + 3, "the whole list")
     assert {fetch.fields["from"] for fetch in request_objects(router, client)} == {"s-00000030"}
--- a/tests/test_fastcgi_frontend.py
+++ b/tests/test_fastcgi_frontend.py
@@ -5,7 +5,15 @@
 import struct
 
 import pytest
-from fastcgi_client import fastcgi_record, name_value_pair
+from fastcgi_client import (
+    BEGIN_REQUEST,
+    END_REQUEST,
+    GET_VALUES,
+    GET_VALUES_RESULT,
+    UNKNOWN_TYPE,
+    fastcgi_record,
+    name_value_pair,
+)
 from router_harness import RouterHarness
 
 
@@ -13,9 +21,9 @@
     "data",
     [
         b"GET / HTTP/1.1\r\n\r\n",
-        fastcgi_record(1, 1, b"\0"),
-        fastcgi_record(1, 1, struct.pack(">HB5x", 1, 1)) * 2,
-        fastcgi_record(9, 0, b"\x20\x00abc"),
+        fastcgi_record(BEGIN_REQUEST, 1, b"\0"),
+        fastcgi_record(BEGIN_REQUEST, 1, struct.pack(">HB5x", 1, 1)) * 2,
+        fastcgi_record(GET_VALUES, 0, b"\x20\x00abc"),
     ],
 )
 def test_malformed_fastcgi_closes_only_its_connection(router: RouterHarness, data: bytes) -> None:
@@ -33,12 +41,14 @@
     "data, kind, content",
     [
         (
-            fastcgi_record(9, 0, name_value_pair("FCGI_MPXS_CONNS", "") + name_value_pair("ELSE", "")),
-            10,
+            fastcgi_record(
+                GET_VALUES, 0, name_value_pair("FCGI_MPXS_CONNS", "") + name_value_pair("ELSE", "")
+            ),
+            GET_VALUES_RESULT,
             name_value_pair("FCGI_MPXS_CONNS", "1"),
         ),
-        (fastcgi_record(77, 0, b"?"), 11, b"\x4d" + bytes(7)),
-        (fastcgi_record(1, 9, struct.pack(">HB5x", 2, 1)), 3, b"\0\0\0\0\x03\0\0\0"),
+        (fastcgi_record(77, 0, b"?"), UNKNOWN_TYPE, b"\x4d" + bytes(7)),
+        (fastcgi_record(BEGIN_REQUEST, 9, struct.pack(">HB5x", 2, 1)), END_REQUEST, b"\0\0\0\0\x03\0\0\0"),
     ],
 )
 def test_management_records_are_answered(
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -4,7 +4,7 @@
 
 import pytest
 from fake_cache import resp_array
-from fastcgi_client import fastcgi_record
+from fastcgi_client import ABORT_REQUEST, fastcgi_record
 from router_harness import RouterHarness
 from socket_requests import FAILED_STATUS, WRITE_REQUEST
 
@@ -107,7 +107,7 @@
     client = router.connect()
     client.send_request(3)
     fetch = router.next_command()
-    client.sock.sendall(fastcgi_record(2, 3))
+    client.sock.sendall(fastcgi_record(ABORT_REQUEST, 3))
     assert router.next_command("abort").request_id == fetch.request_id
     assert client.read_response()[:2] == (3, 0)
     client.send_request(3)  # the id is free again
--- a/tests/test_purges.py
+++ b/tests/test_purges.py
@@ -7,12 +7,14 @@
 from pathlib import Path
 
 import pytest
+from fake_change_log import ENDPOINT_CHANGES, GROUP_PURGE, OBJECT_PURGE, UP, encode_group_purge
 from router_harness import RouterHarness
 from socket_requests import is_rejection, request_objects
 
 
 @pytest.mark.parametrize(
-    "kind, name", [(3, struct.pack(">Q", 0x7F3A9C21E0B4D655)), (4, struct.pack(">H", 17))]
+    "kind, name",
+    [(OBJECT_PURGE, struct.pack(">Q", 0x7F3A9C21E0B4D655)), (GROUP_PURGE, struct.pack(">H", 17))],
 )
 def test_purge_limits_the_age_of_accepted_copies(router: RouterHarness, kind: int, name: bytes) -> None:
     client = router.connect()
@@ -36,8 +38,8 @@
 
 def test_response_older_than_the_purge_is_not_forwarded(router: RouterHarness) -> None:
     client, moment = router.connect(), int(time.time() * 1000)
-    router.change_log.send_event(2, 4, struct.pack(">HQ", 17, moment))
-    router.change_log.send_event(3, 2, router.endpoint_record(router.caches[0], 0))
+    router.change_log.send_event(2, GROUP_PURGE, encode_group_purge(17, moment))
+    router.change_log.send_event(3, ENDPOINT_CHANGES, router.endpoint_record(router.caches[0], UP))
     router.wait_until(lambda: len(router.log_lines("node")) == 5, "the change after the purge")
     client.send_request()
     router.next_command().reply(body=b"old", born=moment - 5000)
@@ -57,8 +59,8 @@
     flag.touch()
     assert is_rejection(client.request(X_TTL_MS="300"))
     assert router.next_command("abort").command == "abort"
-    router.change_log.send_event(2, 4, struct.pack(">HQ", 17, int((time.time() - 3600) * 1000)))
-    router.change_log.send_event(3, 2, router.endpoint_record(router.caches[0], 0))
+    router.change_log.send_event(2, GROUP_PURGE, encode_group_purge(17, int((time.time() - 3600) * 1000)))
+    router.change_log.send_event(3, ENDPOINT_CHANGES, router.endpoint_record(router.caches[0], UP))
     router.wait_until(lambda: len(router.log_lines("node")) == 5, "the change after the purge")
     client.send_request()
     assert int(router.next_command().fields["oldest"]) < 1_000_000
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -17,7 +17,8 @@
 import pytest
 import trio
 import trio.testing
-from fastcgi_client import FastCgiClient, fastcgi_record
+from fake_change_log import DRAINING, ENDPOINT_CHANGES, UP
+from fastcgi_client import ABORT_REQUEST, FastCgiClient, fastcgi_record
 from router_harness import SETTINGS, RouterHarness
 from tcp_endpoints import UnresponsiveAddress, free_address
 from waiting import TEST_TIMEOUT
@@ -88,13 +89,15 @@
     router = start_router(limits=limits(connect_timeout=28_000.0, conn_idle=600_000.0, cancel=False))
     unresponsive, (slow, other) = UnresponsiveAddress(), router.caches
     router.change_log.send_event(
-        2, 2, router.endpoint_record(slow, 0, port=unresponsive.port) + router.endpoint_record(other, 1)
+        2,
+        ENDPOINT_CHANGES,
+        router.endpoint_record(slow, UP, port=unresponsive.port) + router.endpoint_record(other, DRAINING),
     )
     router.wait_until(lambda: len(router.log_lines("node")) == 6, "the change")
     left, stays = router.connect(), router.connect()
     left.send_request(1, X_TXN="00000000000000aa", X_TTL_MS="30000")
     wait_for_decisions(left)
-    left.sock.sendall(fastcgi_record(2, 1))
+    left.sock.sendall(fastcgi_record(ABORT_REQUEST, 1))
     assert left.read_response()[:2] == (1, 0)
     stays.send_request(1, X_TXN="00000000000000bb", X_TTL_MS="30000")
     wait_for_decisions(stays)
@@ -119,7 +122,7 @@
     client.send_request(3)  # behind that, nothing is taken any more
     assert client.read_response()[:2] == (3, 0)
     if how == "abort":
-        client.sock.sendall(fastcgi_record(2, 1))
+        client.sock.sendall(fastcgi_record(ABORT_REQUEST, 1))
     else:
         client.sock.shutdown(socket.SHUT_RDWR)
     assert router.next_command("abort").request_id == fetch.request_id
@@ -174,7 +177,7 @@
     assert router.change_log.resumed_from.get(timeout=TEST_TIMEOUT) == 1
     router.change_log.listener.accepted[-1].shutdown(socket.SHUT_RDWR)
     assert router.change_log.resumed_from.get(timeout=TEST_TIMEOUT) == 1
-    router.change_log.send_event(2, 2, router.endpoint_record(router.caches[0], 1))
+    router.change_log.send_event(2, ENDPOINT_CHANGES, router.endpoint_record(router.caches[0], DRAINING))
     router.wait_until(lambda: len(router.log_lines("node")) == 5, "the next event")
     for fetch in fetches:
         fetch.reply(body=b"served")
@@ -312,7 +315,9 @@
         UnresponsiveAddress(),
         next(cache for cache in router.caches if cache is not first.cache),
     )
-    router.change_log.send_event(2, 2, router.endpoint_record(other, 0, port=unresponsive.port))
+    router.change_log.send_event(
+        2, ENDPOINT_CHANGES, router.endpoint_record(other, UP, port=unresponsive.port)
+    )
     router.wait_until(lambda: len(router.log_lines("node")) == 5, "the change")
     first.reply("500")
     wait_for_decisions(probe)
--- a/tests/test_request_validation.py
+++ b/tests/test_request_validation.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from fastcgi_client import fastcgi_record
+from fastcgi_client import PARAMS, STDIN, fastcgi_record
 from router_harness import RouterHarness
 
 from stonecove.wire.fastcgi import OVERLOADED
@@ -58,11 +58,13 @@
     assert client.read_response().status == 200
 
 
-@pytest.mark.parametrize("kind, status", [(4, 413), (5, 413)])
+@pytest.mark.parametrize("kind, status", [(PARAMS, 413), (STDIN, 413)])
 def test_oversized_request_is_answered_before_its_end(router: RouterHarness, kind: int, status: int) -> None:
     client = router.connect()
     client.sock.sendall(
-        client.encode_request()[:-8].replace(fastcgi_record(4, 1), b"" if kind == 4 else fastcgi_record(4, 1))
+        client.encode_request()[:-8].replace(
+            fastcgi_record(PARAMS, 1), b"" if kind == PARAMS else fastcgi_record(PARAMS, 1)
+        )
     )
     client.sock.sendall(fastcgi_record(kind, 1, bytes(60_000)) * 3)  # no end of it
     assert client.read_response()[:2] == (1, status)
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -7,6 +7,7 @@
 from typing import Any
 
 import pytest
+from fake_change_log import ENDPOINT_CHANGES, REMOVED, UP
 from router_harness import RouterHarness
 from socket_requests import FAILED_STATUS, WRITE_REQUEST, is_rejection
 from tcp_endpoints import UnresponsiveAddress
@@ -70,7 +71,9 @@
 
 def test_connection_timeout_counts_as_not_executed(router: RouterHarness) -> None:
     unresponsive, client = UnresponsiveAddress(), router.connect()
-    router.change_log.send_event(2, 2, router.endpoint_record(router.caches[0], 0, port=unresponsive.port))
+    router.change_log.send_event(
+        2, ENDPOINT_CHANGES, router.endpoint_record(router.caches[0], UP, port=unresponsive.port)
+    )
     router.wait_until(lambda: len(router.log_lines("node")) == 5, "the change")
     for number in range(8):  # about half of them have their home there
         client.send_request(X_ROW=f"{number + 1:016x}", **WRITE_REQUEST)
@@ -106,7 +109,7 @@
 def test_reset_of_an_unused_connection_does_not_count_against_the_cache(router: RouterHarness) -> None:
     """A request that was not sent is retried on another connection, a write as well: it was not executed."""
     client, home = router.connect(), router.caches[0]
-    router.change_log.send_event(2, 2, router.endpoint_record(router.caches[1], 2))
+    router.change_log.send_event(2, ENDPOINT_CHANGES, router.endpoint_record(router.caches[1], REMOVED))
     router.wait_until(lambda: len(router.log_lines("node")) == 5, "only one cache is left")
     for _ in range(4):
         client.send_request(**WRITE_REQUEST)
--- a/tests/test_system_call_failures.py
+++ b/tests/test_system_call_failures.py
@@ -18,6 +18,15 @@
 from typing import Any
 
 import pytest
+from fake_change_log import (
+    ENDPOINT_CHANGES,
+    FULL_LIST,
+    GROUP_PURGE,
+    HEARTBEAT,
+    UP,
+    encode_endpoint,
+    encode_group_purge,
+)
 from fastcgi_client import FastCgiClient
 from router_harness import SETTINGS, RouterHarness
 from waiting import TEST_TIMEOUT
@@ -63,8 +72,8 @@
     assert fetch_status(router, client) == 200
     flag.touch()
     moment = int(time.time() * 1000)
-    router.change_log.send_event(2, 4, struct.pack(">HQ", 17, moment))
-    router.change_log.send_event(3, 2, router.endpoint_record(router.caches[0], 0))
+    router.change_log.send_event(2, GROUP_PURGE, encode_group_purge(17, moment))
+    router.change_log.send_event(3, ENDPOINT_CHANGES, router.endpoint_record(router.caches[0], UP))
     router.wait_until(lambda: len(router.log_lines("node")) == 5, "the change after the purge")
     client.send_request(2)
     fetch = router.next_command()
@@ -275,13 +284,11 @@
 def test_endpoint_list_received_over_seconds_is_accepted(start_router: Callable[..., RouterHarness]) -> None:
     router = start_router()
     assert router.change_log.resumed_from.get(timeout=TEST_TIMEOUT) == 1
-    router.change_log.send_event(1, 0)
-    nodes = [router.endpoint_record(cache, 0) for cache in router.caches]
-    nodes += [
-        struct.pack(">IIHBBBHIQ", 0x1000 + place, 0x7F000001, 1, 0, 0, 1, 0, 9000, 0) for place in range(3000)
-    ]
+    router.change_log.send_event(1, HEARTBEAT)
+    nodes = [router.endpoint_record(cache, UP) for cache in router.caches]
+    nodes += [encode_endpoint(0x1000 + place, weight=9000) for place in range(3000)]
     payload = b"".join(nodes)
-    data = struct.pack(">IQB", 9 + len(payload), 2, 1) + payload
+    data = struct.pack(">IQB", 9 + len(payload), 2, FULL_LIST) + payload
     sock = router.change_log.listener.accepted[-1]
     for place in range(10):
         sock.sendall(data[place * len(data) // 10 : (place + 1) * len(data) // 10])
--- a/tests/test_unread_input.py
+++ b/tests/test_unread_input.py
@@ -15,7 +15,7 @@
 
 import pytest
 from fake_cache import ReceivedCommand
-from fastcgi_client import FastCgiClient, fastcgi_record
+from fastcgi_client import ABORT_REQUEST, FastCgiClient, fastcgi_record
 from router_harness import SETTINGS, RouterHarness
 
 from stonecove.soak.plan import Call, Fault
@@ -45,7 +45,7 @@
 def disconnect(client: FastCgiClient, how: str) -> None:
     """The client abandons its request 1 by an abort, a close or a reset."""
     if how == "abort":
-        client.sock.sendall(fastcgi_record(2, 1))
+        client.sock.sendall(fastcgi_record(ABORT_REQUEST, 1))
     elif how == "close":
         client.sock.shutdown(socket.SHUT_RDWR)
     else:
