--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -28,7 +28,7 @@
     fetch = router.next_command()
     assert router.change_log.resumed_from.get(timeout=TEST_TIMEOUT) == 1
     router.change_log.send_event(2, GROUP_PURGE, encode_group_purge(40, 1))
-    router.change_log.send_event(3, HEARTBEAT)  # and then it stays open and silent
+    router.change_log.send_event(3, HEARTBEAT)  # after this the connection stays open and silent
     changed = {**router.config, "changelog": f"127.0.0.1:{new.listener.port}"}
     router.reload(json.dumps(changed))
     assert new.resumed_from.get(timeout=TEST_TIMEOUT) == 2
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -94,7 +94,7 @@
     router.change_log.send_event(
         2, ENDPOINT_CHANGES, router.endpoint_record(fetch.cache, UP, int(time.time() * 1000) + since)
     )
-    router.wait_until(lambda: len(router.log_lines("node")) == 5, "the news")
+    router.wait_until(lambda: len(router.log_lines("node")) == 5, "the endpoint update")
     if lost:
         router.wait_until(lambda: router.log_lines("connection-lost"), "the end of the connection")
         fetch = router.next_command()
@@ -121,7 +121,7 @@
             router.change_log.send_partial_frame_byte()
             return bool(router.log_lines("changelog-lost"))
 
-        router.wait_until(given_up, "an end of the trickling")
+        router.wait_until(given_up, "the loss of the connection")
     assert router.change_log.resumed_from.get(timeout=TEST_TIMEOUT) == 2
     router.change_log.send_event(3, ENDPOINT_CHANGES, router.endpoint_record(router.caches[0], DRAINING))
     router.wait_until(lambda: len(router.log_lines("node")) == 5, "the next event")
@@ -138,7 +138,7 @@
         for cache, state in zip(router.caches, (DRAINING, UP), strict=True)
     )
     router.change_log.send_event(3, FULL_LIST, nodes)
-    router.wait_until(lambda: len(router.log_lines("node")) == 6, "the whole list")
+    router.wait_until(lambda: len(router.log_lines("node")) == 6, "the full endpoint list")
 
 
 @pytest.mark.parametrize("event", ["drain", "source", "purge"])
@@ -189,5 +189,5 @@
     router.change_log.send_event(9, 77, b"?")
     nodes = b"".join(router.endpoint_record(cache, UP) for cache in router.caches)
     router.change_log.send_event(10, FULL_LIST, nodes + encode_endpoint(0x30, machine_type=2))
-    router.wait_until(lambda: len(router.log_lines("node")) == 4 + 14 + 3, "the whole list")
+    router.wait_until(lambda: len(router.log_lines("node")) == 4 + 14 + 3, "the full endpoint list")
     assert {fetch.fields["from"] for fetch in request_objects(router, client)} == {"s-00000030"}
--- a/tests/test_policy_placement.py
+++ b/tests/test_policy_placement.py
@@ -19,12 +19,12 @@
 from stonecove.interface import Listed, ListKind, Node, NodeState, Note, Outcome
 
 
-def nodes(count: int, weight: float = 1.0) -> list[Node]:
+def make_caches(count: int, weight: float = 1.0) -> list[Node]:
     return [Node(n + 1, 0, 0.0, NodeState.READY, 0, 1, weight) for n in range(count)]
 
 
 def test_shares_follow_the_endpoint_weights() -> None:
-    listed = [*nodes(3), Node(9, 0, 0.0, NodeState.READY, 0, 1, 3.0)]
+    listed = [*make_caches(3), Node(9, 0, 0.0, NodeState.READY, 0, 1, 3.0)]
     homes = Counter(Ring(listed, True).order(key)[0] for key in range(6000))
     assert abs(homes[9] / 6000 - 0.5) < 0.03
     flat = Counter(Ring(listed, False).order(key)[0] for key in range(6000))
@@ -32,7 +32,7 @@
 
 
 def test_removed_endpoint_moves_only_its_own_objects() -> None:
-    before, after = Ring(nodes(8), True), Ring(nodes(7), True)
+    before, after = Ring(make_caches(8), True), Ring(make_caches(7), True)
     for key in range(500):
         home = before.order(key)[0]
         assert home == 8 or after.order(key)[0] == home
--- a/tests/test_policy_popularity.py
+++ b/tests/test_policy_popularity.py
@@ -8,8 +8,8 @@
 from stonecove.interface import Request
 
 
-def busy_day(popularity: Popularity, requests: int = 3000, once: int = 7) -> None:
-    """Objects asked for ever less often, and every so often one that is asked for just once."""
+def record_mixed_requests(popularity: Popularity, requests: int = 3000, once: int = 7) -> None:
+    """Requests objects of decreasing frequency, with one-time objects in between."""
     for n in range(requests):
         if n % once == 0:
             popularity.note(n * 10.0, 100_000 + n, 100.0, 0)
@@ -19,7 +19,7 @@
 
 def test_popular_objects_are_cached_and_the_rest_are_not() -> None:
     popularity = Popularity(40_000.0)
-    busy_day(popularity)
+    record_mixed_requests(popularity)
     assert popularity.rank(0) > 0
     assert popularity.rank(100_000) == 0
     assert popularity.rank(123_456_789) == 0
@@ -27,7 +27,7 @@
 
 def test_new_policy_caches_everything_at_the_lowest_rank() -> None:
     popularity = Popularity(40_000.0)
-    busy_day(popularity, FRESH_FOR - 1)
+    record_mixed_requests(popularity, FRESH_FOR - 1)
     assert popularity.rank(0) == popularity.rank(123_456_789) == 1
 
 
--- a/tests/test_policy_robustness.py
+++ b/tests/test_policy_robustness.py
@@ -115,7 +115,7 @@
         policy.handle(Listed(ListKind.DELTA, (fresh._replace(state=NodeState.GONE),)))
         for attempt in mine[1:]:
             policy.end_attempt(attempt, Outcome.RESET)
-    policy.update_endpoint(CACHES[0])  # late ends may leave a trace, until the next news
+    policy.update_endpoint(CACHES[0])  # late attempt ends may leave an entry until the next list update
     tables: list[Collection[int]] = [
         routing_policy._loads,
         routing_policy._cache_health,
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -225,7 +225,7 @@
     whole = client.encode_request()
     client.sock.sendall(whole[:40])
     router.process.send_signal(signal.SIGTERM)
-    router.wait_until(lambda: refuses_connections(router), "the end of the grace")
+    router.wait_until(lambda: refuses_connections(router), "the end of the grace period")
     client.sock.sendall(whole[40:])
     router.next_command().reply(body=b"whole")
     assert client.read_response().body == b"whole"
@@ -296,7 +296,7 @@
     whole = client.encode_request(path="/status/live")
     client.sock.sendall(whole[:40])  # so that the connection is not at rest
     router.process.send_signal(signal.SIGTERM)
-    router.wait_until(lambda: router.log_lines("stopping"), "the stop")
+    router.wait_until(lambda: router.log_lines("stopping"), "the shutdown")
     client.sock.sendall(whole[40:])
     assert client.read_response().status == 503
 
--- a/tests/test_request_validation.py
+++ b/tests/test_request_validation.py
@@ -96,7 +96,7 @@
     for ident in range(2, 25):
         client.send_request(ident, path="/svc/nothing")
         time.sleep(pause)
-    router.wait_until(lambda: len(router.log_lines("bad-request")) > 3, "the refusals")
+    router.wait_until(lambda: len(router.log_lines("bad-request")) > 3, "the rejections")
     fetch.reply(body=b"first")
     responses = []
     with pytest.raises(EOFError):
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -75,7 +75,7 @@
         2, ENDPOINT_CHANGES, router.endpoint_record(router.caches[0], UP, port=unresponsive.port)
     )
     router.wait_until(lambda: len(router.log_lines("node")) == 5, "the change")
-    for number in range(8):  # about half of them have their home there
+    for number in range(8):  # about half of them have their home cache there
         client.send_request(X_ROW=f"{number + 1:016x}", **WRITE_REQUEST)
         router.next_command().reply()
         assert client.read_response().status == 200
@@ -124,7 +124,7 @@
 def test_occasional_connection_loss_does_not_eject_the_cache(router: RouterHarness) -> None:
     """Each loss is retried at the same cache and does not use the retry budget."""
     client = router.connect()
-    for _ in range(40):  # more than the budget for further attempts would bear
+    for _ in range(40):  # more than the retry budget allows
         client.send_request()
         home = router.next_command()
         home.sock.shutdown(2)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -210,7 +210,7 @@
     """Each keeps to its quota, also when some get ten times the traffic of others."""
     cold = CACHES[0]
     nodes = [n._replace(started=100_000.0) if n.node == cold else n for n in make_endpoints()]
-    nodes = [n for n in nodes if n.node == cold or n.node not in CACHES]  # all that is asked could go there
+    nodes = [n for n in nodes if n.node == cold or n.node not in CACHES]  # every request could go there
     settings = make_settings(fleet=fleet, zone_directors=(0, fleet, 0))
     sent, size = 0, 100.0
     for place in range(fleet):
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -32,7 +32,7 @@
     early.send_request()
     held = router.next_command()
     router.process.send_signal(signal.SIGTERM)
-    router.wait_until(lambda: router.log_lines("stopping"), "the stop")
+    router.wait_until(lambda: router.log_lines("stopping"), "the shutdown")
     late = router.connect()
     late.send_request()
     router.next_command().reply(body=b"late")
@@ -53,7 +53,7 @@
     late = router.connect()
     late.send_request(X_ROW="0123456789abcdef")
     router.process.send_signal(signal.SIGTERM)
-    router.wait_until(lambda: router.log_lines("stopping"), "the stop")
+    router.wait_until(lambda: router.log_lines("stopping"), "the shutdown")
     for fetch in fetches:
         fetch.reply(body=b"held")
     assert {client.read_response().body for client in held} == {b"held"}
--- a/tests/test_system_call_failures.py
+++ b/tests/test_system_call_failures.py
@@ -216,7 +216,7 @@
     client.send_request()
     fetch = router.next_command()
     router.process.send_signal(signal.SIGTERM)
-    router.wait_until(lambda: router.log_lines("stopping"), "the stop")
+    router.wait_until(lambda: router.log_lines("stopping"), "the shutdown")
     for _ in range(3):
         router.process.send_signal(number)
         time.sleep(0.05)
@@ -293,5 +293,5 @@
     for place in range(10):
         sock.sendall(data[place * len(data) // 10 : (place + 1) * len(data) // 10])
         time.sleep(0.4)
-    router.wait_until(lambda: len(router.log_lines("node")) == 4 + 3002, "the whole list")
+    router.wait_until(lambda: len(router.log_lines("node")) == 4 + 3002, "the full endpoint list")
     assert router.change_log.resumed_from.empty() and not router.log_lines("changelog-lost")
