--- a/benchmarks/explore.py
+++ b/benchmarks/explore.py
@@ -1,4 +1,4 @@
-"""What the explorer's techniques cost and save, each against the plain way in the same run.
+"""Cost and savings of the model checker's techniques, each against the plain way in the same run.
 
 python -m benchmarks.explore [--short]
 """
@@ -13,21 +13,23 @@
 import numpy as np
 
 from stonecove.explore import mutation_run, mutations, search
-from stonecove.explore.copying import DeepCopy, Pickle, Replay, Way, run
+from stonecove.explore.copying import DeepCopy, Pickle, Replay, StateCopier, run
 from stonecove.explore.scope import SMALL, named
-from stonecove.explore.search import Crew, Options, Result
-from stonecove.explore.trace import world_start
+from stonecove.explore.expander import WorkerPool
+from stonecove.explore.results import Result
+from stonecove.explore.search import Options
+from stonecove.explore.trace import model_factory
 from stonecove.explore.visited import FingerprintSet, PlainSet, Visited
 
 DEPTHS = {"links": (6, 8), "clients": (6, 7), "drain": (5, 7), "confirm": (7, 9)}
 
 
 def _play(name: str, depth: int, processes: int = 1, **options: object) -> Result:
-    with Crew(processes) as crew:
+    with WorkerPool(processes) as workers:
         mutation_run.explore(
-            named(SMALL, name).with_bounds(depth=2), crew, Options()
+            named(SMALL, name).with_bounds(depth=2), workers, Options()
         )  # processes are up by now
-        return mutation_run.explore(named(SMALL, name).with_bounds(depth=depth), crew, Options(**options))  # type: ignore[arg-type]
+        return mutation_run.explore(named(SMALL, name).with_bounds(depth=depth), workers, Options(**options))  # type: ignore[arg-type]
 
 
 def _rates(result: Result) -> str:
@@ -39,17 +41,21 @@
 
 
 def copies() -> dict[str, float]:
-    """Microseconds to come back to a state, by way and depth."""
+    """Microseconds to restore a state, by technique and depth."""
     found = {}
-    start = world_start(named(SMALL, "links"))
+    start = model_factory(named(SMALL, "links"))
     for steps in (("ask 0",), ("ask 0", "decide", "up c1.0", "wait", "fire", "up c1.1")):
-        ways: dict[str, Way] = {"replay": Replay(start), "deepcopy": DeepCopy(), "pickle": Pickle()}
-        for name, way in ways.items():
-            way.keep(run(start, steps), steps)
+        copiers: dict[str, StateCopier] = {
+            "replay": Replay(start),
+            "deepcopy": DeepCopy(),
+            "pickle": Pickle(),
+        }
+        for name, copier in copiers.items():
+            copier.capture(run(start, steps), steps)
             times = []
             for _ in range(60):
                 began = time.perf_counter()
-                way.back()
+                copier.restore()
                 times.append(time.perf_counter() - began)
             found[f"{name}_{len(steps)}_us"] = median(times) * 1e6
             print(f"  back by {name:8} after {len(steps)} steps: {found[f'{name}_{len(steps)}_us']:7.0f} us")
@@ -62,16 +68,16 @@
     chooser = np.random.default_rng(7)
     prints = chooser.integers(0, 1 << 63, count, dtype=np.uint64)
     for name, made in (("runs", FingerprintSet()), ("set", PlainSet())):
-        kept: Visited = made
+        visited: Visited = made
         began = time.perf_counter()
         for at in range(0, count, 20_000):
-            kept.add(prints[at : at + 20_000])
-            kept.add(prints[max(0, at - 10_000) : at])
+            visited.add(prints[at : at + 20_000])
+            visited.add(prints[max(0, at - 10_000) : at])
         seconds = time.perf_counter() - began
-        found[f"{name}_bytes"] = kept.nbytes() / len(kept)
+        found[f"{name}_bytes"] = visited.nbytes() / len(visited)
         found[f"{name}_us"] = seconds / count * 1e6
         print(
-            f"  {name:5} {kept.nbytes() / len(kept):6.1f} bytes a state, "
+            f"  {name:5} {visited.nbytes() / len(visited):6.1f} bytes a state, "
             f"{seconds / count * 1e6:5.2f} us a state"
         )
     return found
@@ -101,7 +107,7 @@
             print(f"  {name:8} replay {_rates(replayed)}")
             figures["pickle_over_replay"] = replayed.seconds / on.seconds
             figures["states_per_s"] = on.states / on.seconds
-            deep = search.depth_first(world_start(named(SMALL, name)), depth)
+            deep = search.depth_first(model_factory(named(SMALL, name)), depth)
             print(f"  {name:8} depth  {_rates(deep)}")
     figures["sleep_saved_percent"] = 100 * sum(saved) / len(saved)
     print("Cores:")
@@ -115,7 +121,7 @@
         print(f"  {processes} processes {_rates(result)}  {one / result.seconds:.2f} times as fast")
     if not short:
         print("Time to each seeded fault, on one core each:")
-        for caught in mutation_run.catch_all(
+        for caught in mutation_run.search_mutations(
             [mutation.name for mutation in mutations.MUTATIONS], min(8, os.cpu_count() or 1)
         ):
             print(
--- a/stonecove/commands/explore.py
+++ b/stonecove/commands/explore.py
@@ -11,7 +11,7 @@
 import click
 
 if TYPE_CHECKING:
-    from stonecove.explore.search import Result
+    from stonecove.explore.results import Result
     from stonecove.explore.trace import Trace
 
 HELD, VIOLATED, UNUSABLE = 0, 1, 2
@@ -41,9 +41,9 @@
 
 
 def _show(scope_name: str, result: Result, scopes: tuple[Any, ...], folder: Path | None) -> None:
-    """Tells of the first violation of each property, and keeps its trace."""
+    """Prints the first violation of each property, and saves its trace."""
     from stonecove.explore.scope import named
-    from stonecove.explore.trace import Trace, shrink, world_start
+    from stonecove.explore.trace import Trace, shrink, model_factory
 
     shown: set[str] = set()
     for found in result.found:
@@ -54,9 +54,9 @@
             click.echo(f"  {found.violation.prop}: {found.violation.why}: {' / '.join(found.steps)}")
             continue
         scope = named(scopes, scope_name)
-        steps = shrink(world_start(scope), found.steps, found.violation.prop)
+        steps = shrink(model_factory(scope), found.steps, found.violation.prop)
         trace = Trace(scope, steps, found.violation.prop, found.violation.why)
-        click.echo(trace.story())
+        click.echo(trace.report())
         if folder is not None:
             folder.mkdir(parents=True, exist_ok=True)
             path = folder / f"{scope_name}-{found.violation.prop}.json"
@@ -72,7 +72,7 @@
 @click.option(
     "--save",
     type=click.Path(path_type=Path, dir_okay=False),
-    help="Keep the frontier here now and then; go on from it if it is there.",
+    help="Save the frontier here from time to time; continue from it if it exists.",
 )
 @click.option(
     "--save-every",
@@ -81,7 +81,7 @@
     type=click.FloatRange(0.0),
     help="Seconds between two saved frontiers.",
 )
-@click.option("--traces", type=click.Path(path_type=Path, file_okay=False), help="Keep counterexamples here.")
+@click.option("--traces", type=click.Path(path_type=Path, file_okay=False), help="Save counterexamples here.")
 @click.option("--depth", type=click.IntRange(1, 60), help="Another depth, for one part.")
 def run_command(
     scope_name: str,
@@ -91,10 +91,11 @@
     traces: Path | None,
     depth: int | None,
 ) -> None:
-    """Explore a scope whole."""
+    """Explore a scope exhaustively."""
     from stonecove.explore.mutation_run import explore_all
     from stonecove.explore.scope import SCOPES, named
-    from stonecove.explore.search import Crew, SavedError
+    from stonecove.explore.expander import WorkerPool
+    from stonecove.explore.frontier import SavedFrontierError
 
     try:
         scopes = (
@@ -110,7 +111,7 @@
             _unusable("--depth goes with one part of a scope")
         scopes = (scopes[0].with_bounds(depth=depth),)
 
-    def tell(name: str, result: Result) -> None:
+    def report(name: str, result: Result) -> None:
         note = "" if result.complete else " (given up: not all was played)"
         click.echo(
             f"{name:10} {result.states:9} states {result.transitions:9} transitions "
@@ -120,9 +121,9 @@
 
     began = time.monotonic()
     try:
-        with Crew(_processes(processes)) as crew:
-            total = explore_all(scopes, crew, save, tell, save_every)
-    except SavedError as error:
+        with WorkerPool(_processes(processes)) as workers:
+            total = explore_all(scopes, workers, save, report, save_every)
+    except SavedFrontierError as error:
         _unusable(str(error))
     total.seconds = time.monotonic() - began
     click.echo(_line(scope_name, total))
@@ -133,15 +134,15 @@
 @click.option("--only", multiple=True, help="Names of faults; all without.")
 @click.option("--processes", default=0, type=click.IntRange(0, 64), help="0: all cores, at most 8.")
 def seeded_command(only: tuple[str, ...], processes: int) -> None:
-    """Plant faults of one line, one after the other, and show by what each is found."""
-    from stonecove.explore.mutation_run import catch_all
+    """Plant mutations one after the other, and show which property finds each."""
+    from stonecove.explore.mutation_run import search_mutations
     from stonecove.explore.mutations import MUTATIONS
 
     names = [mutation.name for mutation in MUTATIONS]
     if unknown := [name for name in only if name not in names]:
         _unusable(f"no fault {unknown[0]!r}")
     began = time.monotonic()
-    found = catch_all(list(only) or names, _processes(processes))
+    found = search_mutations(list(only) or names, _processes(processes))
     from rich.console import Console
     from rich.table import Table
 
@@ -179,15 +180,15 @@
 )
 @click.option("--seed", default=1, show_default=True, type=int, help="Chance seed of the first walk.")
 @click.option("--processes", default=0, type=click.IntRange(0, 64), help="0: all cores, at most 8.")
-@click.option("--traces", type=click.Path(path_type=Path, file_okay=False), help="Keep counterexamples here.")
+@click.option("--traces", type=click.Path(path_type=Path, file_okay=False), help="Save counterexamples here.")
 def walk_command(walks: int, steps: int, seed: int, processes: int, traces: Path | None) -> None:
-    """Walk at random beyond the bounds, seeded."""
-    from stonecove.explore.mutation_run import wander_all
+    """Walk at random beyond the bounds, from fixed seeds."""
+    from stonecove.explore.mutation_run import random_walks_in_parallel
     from stonecove.explore.scope import WALK
-    from stonecove.explore.search import Result
+    from stonecove.explore.results import Result
 
     began = time.monotonic()
-    done = wander_all(seed, walks, steps, _processes(processes))
+    done = random_walks_in_parallel(seed, walks, steps, _processes(processes))
     _show(WALK.name, Result(found=done.found), (WALK,), traces)
     click.echo(
         f"walks={done.walks} steps={done.steps} kinds={len(done.words)} violations={len(done.found)} "
@@ -210,10 +211,10 @@
 @click.argument("file", type=click.Path(path_type=Path, dir_okay=False))
 @click.option("--chart", type=click.Path(path_type=Path, dir_okay=False), help="Draw it, as .svg or .png.")
 def replay_command(file: Path, chart: Path | None) -> None:
-    """Take the steps of a kept trace again, and tell them. Ends with 1 if they still break the property."""
+    """Replay a saved trace, and print its steps. Ends with 1 if they still violate the property."""
     trace = _read(file)
-    _, violations = trace.play()
-    click.echo(trace.story())
+    _, violations = trace.replay()
+    click.echo(trace.report())
     if chart is not None:
         from stonecove.explore.chart import draw
 
@@ -225,7 +226,7 @@
 
 
 @explore.command("report")
-@click.option("--lines/--no-lines", default=True, help="List the lines that were not reached.")
+@click.option("--lines/--no-lines", default=True, help="List the lines that were not executed.")
 @click.option(
     "--depth",
     default=5,
@@ -234,7 +235,7 @@
     help="To this depth in each part of the small scope.",
 )
 def report_command(lines: bool, depth: int) -> None:
-    """Tell the properties, the hard cases, and which lines and branches of the core were played."""
+    """Print the properties, the hard cases, and which lines and branches of the core were executed."""
     from stonecove.explore.reach import report
 
     for line in report(depth, lines):
--- a/stonecove/explore/channels.py
+++ b/stonecove/explore/channels.py
@@ -1,7 +1,7 @@
-"""The smaller machine of a connection's own life: connecting, up, half written, over.
+"""The smaller machine of one connection: connecting, established, partially written, ended.
 
-One real `Channel` with a socket that takes as many bytes as it is told to. Commands are of three bytes, and
-one of them decides at its turn that it does not go.
+One real `Channel` with a socket that accepts as many bytes as a step allows. Commands have three bytes, and
+one of them withdraws when it is its turn to be written.
 """
 
 from __future__ import annotations
@@ -12,12 +12,13 @@
 from stonecove.wire.channel import Channel
 from stonecove.wire.resp import RespError, encode
 
-COMMANDS = ("aaa", "bbb", "-no")  # the last one does not go
+WITHDRAWN = "-no"  # the command that is not written
+COMMANDS = ("aaa", "bbb", WITHDRAWN)
 ANSWER = encode(b"ok")
 
 
-class OneSocket:
-    """Takes `room` bytes, then none."""
+class LimitedSocket:
+    """Accepts `room` bytes, then none."""
 
     def __init__(self) -> None:
         self.room = 99
@@ -26,7 +27,7 @@
         self.taken = b""
 
     def send(self, data: bytes | memoryview, /) -> int:
-        """Takes what there is room for."""
+        """Accepts as many bytes as there is room for."""
         if self.dead:
             raise ConnectionResetError("reset")
         count = min(self.room, len(data))
@@ -37,7 +38,7 @@
         return count
 
     def recv(self, count: int, flags: int, /) -> bytes:
-        """The end, if it has come."""
+        """Peeks at the socket: only its end can be seen."""
         if self.dead:
             raise ConnectionResetError("reset")
         if self.ended:
@@ -45,8 +46,8 @@
         raise BlockingIOError
 
 
-class OneCommand:
-    """A command that notes what becomes of it."""
+class RecordedCommand:
+    """A command that records what becomes of it."""
 
     def __init__(self, machine: ChannelMachine, text: str) -> None:
         self.machine, self.text = machine, text
@@ -54,17 +55,17 @@
         self.state = "waiting"
 
     def begin(self) -> bytes | None:
-        """Its bytes, unless it does not go."""
-        if self.machine.told:
-            self.machine.broken("told-once", f"{self.text} begins on a connection that is over")
+        """Its bytes; None if it withdraws."""
+        if self.machine.ends:
+            self.machine.violated("told-once", f"{self.text} begins on a connection that is over")
         self.begun += 1
-        self.state = "dropped" if self.text == "-no" else "begun"
-        return None if self.text == "-no" else self.text.encode()
+        self.state = "dropped" if self.text == WITHDRAWN else "begun"
+        return None if self.text == WITHDRAWN else self.text.encode()
 
     def unwritten(self) -> None:
-        """Not a byte went out."""
+        """The channel reports that none of it was written."""
         if self.text.encode() in self.machine.sock.taken:
-            self.machine.broken("order-kept", f"{self.text} was written, and is told as unwritten")
+            self.machine.violated("order-kept", f"{self.text} was written, and is reported as unwritten")
         self.state = "waiting"
 
 
@@ -73,11 +74,11 @@
 
     def __init__(self) -> None:
         self.violations: list[Violation] = []
-        self.sock = OneSocket()
-        self.told: list[str] = []
+        self.sock = LimitedSocket()
+        self.ends: list[str] = []
         self.arrivals = 0
         self.channel = Channel(self, self._clock)
-        self.commands: list[OneCommand] = []
+        self.commands: list[RecordedCommand] = []
         self.half = False
         self.finished = False
 
@@ -85,22 +86,22 @@
     def _clock() -> float:
         return 1.0
 
-    def broken(self, prop: str, why: str) -> None:
-        """Notes a violation."""
+    def violated(self, prop: str, why: str) -> None:
+        """Records a violation."""
         self.violations.append(Violation(prop, why))
 
     def arrived(self, connection: Channel, array: list[bytes]) -> None:
-        """An array came in."""
+        """The channel has decoded an array."""
         self.arrivals += 1
 
     def closed(self, connection: Channel, why: str) -> None:
-        """The channel is over."""
-        self.told.append(why)
-        if len(self.told) > 1:
-            self.broken("told-once", f"told {len(self.told)} times of the end")
+        """The channel reports its end."""
+        self.ends.append(why)
+        if len(self.ends) > 1:
+            self.violated("told-once", f"notified {len(self.ends)} times of the end")
 
     def enabled(self) -> list[str]:
-        """What may happen now."""
+        """All steps that may be taken now."""
         if self.finished:
             return []
         steps = [f"room {count}" for count in (0, 1, 99) if count != self.sock.room]
@@ -113,9 +114,10 @@
             steps.append("die")
         if not self.sock.ended and not self.sock.dead:
             steps.append("end")
-            steps += (
-                ["answer", "half"] if self.arrivals < 2 and not self.half else ["rest"] if self.half else []
-            )
+            if self.half:
+                steps.append("rest")
+            elif self.arrivals < 2:
+                steps += ["answer", "half"]
         if (self.sock.ended or self.sock.dead) and not self.channel.over:
             steps.append("ended")
         if self.channel._full and (self.sock.room or self.sock.dead) and not self.channel.over:
@@ -123,11 +125,11 @@
         return steps
 
     def do(self, step: str) -> None:
-        """Takes a step."""
+        """Takes a step, and checks the order of what was written."""
         word, _, rest = step.partition(" ")
         self.finished = word in ("refused", "reset-at-connect", "ended")
         if word == "put":
-            command = OneCommand(self, COMMANDS[len(self.commands)])
+            command = RecordedCommand(self, COMMANDS[len(self.commands)])
             self.commands.append(command)
             self.channel.put(command)
         elif word == "up":
@@ -148,45 +150,45 @@
             try:
                 self.channel.received()
             except RespError:
-                self.broken("clean-error", "a legal answer can't be read")
+                self.violated("clean-error", "a legal answer can't be read")
         elif word == "writable":
             self.channel.writable()
         elif word == "close":
             self.channel.close()
         elif word == "ended":
             self.channel.ended()
-        self._look()
+        self._check()
 
-    def _look(self) -> None:
-        expected = b"".join(command.text.encode() for command in self.commands if command.text != "-no")
+    def _check(self) -> None:
+        expected = b"".join(command.text.encode() for command in self.commands if command.text != WITHDRAWN)
         if not expected.startswith(self.sock.taken):
-            self.broken("order-kept", f"written {self.sock.taken!r} of {expected!r}")
+            self.violated("order-kept", f"written {self.sock.taken!r} of {expected!r}")
         for command in self.commands:
             written = command.text.encode()[:1] in self.sock.taken
             if command.state == "waiting" and written:
-                self.broken("order-kept", f"{command.text} waits, and was written")
+                self.violated("order-kept", f"{command.text} waits, and was written")
 
     def touches(self, step: str) -> frozenset[str] | None:
-        """Everything touches everything here."""
+        """None: any step may touch everything here."""
         return None
 
     def default(self) -> str | None:
-        """Writing goes on, then the channel is closed."""
+        """Writing continues, then the channel is closed."""
         names = self.enabled()
         return next((step for step in ("writable", "close", "ended") if step in names), None)
 
     def settle(self) -> None:
-        """Closes, and checks that the end was told."""
+        """Closes the channel, and checks that its owner was notified."""
         for _ in range(20):
             step = self.default()
             if step is None or self.violations:
                 break
             self.do(step)
-        if not self.told:
-            self.broken("told-once", "the end was never told")
+        if not self.ends:
+            self.violated("told-once", "the owner was never notified of the end")
 
     def encode(self) -> bytes:
-        """The state."""
+        """The state in its canonical form."""
         channel, sock = self.channel, self.sock
         return marshal.dumps(
             (
@@ -194,7 +196,7 @@
                 sock.dead,
                 sock.ended,
                 sock.taken,
-                len(self.told),
+                len(self.ends),
                 self.arrivals,
                 self.half,
                 channel.up,
--- a/stonecove/explore/chart.py
+++ b/stonecove/explore/chart.py
@@ -11,7 +11,7 @@
 from matplotlib import pyplot  # noqa: E402
 
 from stonecove.explore.scope import ANSWERS  # noqa: E402
-from stonecove.explore.trace import Told, Trace  # noqa: E402
+from stonecove.explore.trace import TracedStep, Trace  # noqa: E402
 
 ROW = 0.34  # inches a step
 _CLIENT = ("ask", "abort", "retry", "leave", "stall", "unstall")
@@ -31,9 +31,9 @@
 )
 
 
-def _lane(told: Told) -> str:
-    """Whose step it is: client, list, a node, or the router itself."""
-    word, _, rest = told.step.partition(" ")
+def _lane(taken: TracedStep) -> str:
+    """Who takes the step: client, list, a node, or the router itself."""
+    word, _, rest = taken.step.partition(" ")
     if word in _CLIENT:
         return "client"
     if word in _LIST:
@@ -43,21 +43,21 @@
 
 
 def draw(trace: Trace, path: Path) -> None:
-    """Writes the chart; SVG or PNG, by the ending of the path."""
-    told, violations = trace.play()
+    """Writes the chart, as SVG or PNG by the suffix of the path."""
+    taken, violations = trace.replay()
     lanes = [
         "client",
         "router",
-        *sorted({lane for lane in map(_lane, told) if lane not in ("client", "router", "list")}),
+        *sorted({lane for lane in map(_lane, taken) if lane not in ("client", "router", "list")}),
         "list",
     ]
-    height = ROW * (len(told) + 4)
+    height = ROW * (len(taken) + 4)
     figure, axes = pyplot.subplots(figsize=(2.6 + 2.2 * len(lanes), max(2.0, height)))
     for place, lane in enumerate(lanes):
         axes.text(place, 0.9, lane, ha="center", weight="bold")
-        axes.plot((place, place), (0.6, -len(told) - 0.6), color="0.8", zorder=0)
+        axes.plot((place, place), (0.6, -len(taken) - 0.6), color="0.8", zorder=0)
     router = lanes.index("router")
-    for row, one in enumerate(told):
+    for row, one in enumerate(taken):
         at, from_lane = -row, lanes.index(_lane(one))
         word = one.step.partition(" ")[0]
         label = one.text.partition(": ")[2] or one.text
@@ -74,10 +74,12 @@
             axes.text((from_lane + router) / 2, at + 0.12, label, size=7, ha="center")
         axes.text(-0.75, at, f"{one.at:.0f} ms", size=7, ha="right", va="center", color="0.4")
     why = "; ".join(f"{violation.prop}: {violation.why}" for violation in violations) or "nothing is broken"
-    axes.text(router, -len(told) - 0.9, why, size=8, color="tab:red", ha="center")
+    axes.text(router, -len(taken) - 0.9, why, size=8, color="tab:red", ha="center")
     axes.set_xlim(-1.2, len(lanes) - 0.4)
-    axes.set_ylim(-len(told) - 1.4, 1.4)
+    axes.set_ylim(-len(taken) - 1.4, 1.4)
     axes.axis("off")
-    axes.set_title(f"scope {trace.scope.name}" + (f", fault {trace.seed}" if trace.seed else ""), size=9)
+    axes.set_title(
+        f"scope {trace.scope.name}" + (f", fault {trace.mutation}" if trace.mutation else ""), size=9
+    )
     figure.savefig(path, bbox_inches="tight")
     pyplot.close(figure)
--- a/stonecove/explore/codecs.py
+++ b/stonecove/explore/codecs.py
@@ -1,43 +1,66 @@
-"""The smaller machine of the codecs: every way in which bytes may be cut must give the same.
+"""The smaller machine of the codecs: every split of a stream into reads must decode to the same.
 
-Streams of up to `EVERY` bytes are cut in all ways (2 ** (n - 1) of them), longer ones at every one and every
-two places, and byte by byte. Illegal streams are the legal ones with each byte changed, cut off at each
-place, and some made by hand: whatever comes of them comes of every cut, and the only error is the codec's
-own.
+Streams of up to `MOST_SPLIT_IN_ALL_WAYS` bytes are split in all ways (2 ** (n - 1) of them), longer ones at
+every one and every two places, and byte by byte. Illegal streams are the legal ones with each byte changed or
+truncated at each place, and some made by hand: every split must give the same outcome, and the only error
+that may be raised is the codec's own.
 """
 
 from __future__ import annotations
 
 import itertools
 import struct
-from collections.abc import Callable, Iterator
+from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass, field
 
 from stonecove.explore.machine import Violation
-from stonecove.explore.search import Found
+from stonecove.explore.results import Found
 from stonecove.memory.budget import Budget
 from stonecove.wire import fastcgi, resp
 from stonecove.wire.buffer import Buffer, BufferFullError
 
-EVERY = 12
+MOST_SPLIT_IN_ALL_WAYS = 12  # bytes
+MOST_SPLIT_EVERYWHERE = 200  # bytes of an illegal stream that is split at each place
+MOST_SHORT = 40  # bytes of a legal stream that is split at two places even in a short run
+MOST_WHY, MOST_HEX, MOST_SPLIT = 300, 200, 80  # characters in a report
 MOST_UNREAD = 1 << 20
-CHANGES = (0x00, 0x01, 0x0A, 0x0D, 0x24, 0x2A, 0x30, 0x39, 0x7F, 0xFF)
+CHANGED_BYTES = (0x00, 0x01, 0x0A, 0x0D, 0x24, 0x2A, 0x30, 0x39, 0x7F, 0xFF)
 
-Outcome = tuple[tuple[str, ...], str]  # what came out, and the error that ended it
+Outcome = tuple[tuple[str, ...], str]  # what was decoded, and the error that ended it
+Split = tuple[int, ...]  # the places at which a stream is split
+Decode = Callable[[Iterator[bytes]], Outcome]
 
 
 @dataclass
-class Cuts:
-    """What was played."""
+class Checked:
+    """The counts and violations of a check."""
 
     streams: int = 0
-    cuts: int = 0
+    splits: int = 0
     found: list[Found] = field(default_factory=list)
 
 
-def cuts_of(size: int, short: bool) -> Iterator[tuple[int, ...]]:
-    """Ways to cut so many bytes: all, or at one and at two places."""
-    if size <= EVERY:
+@dataclass(frozen=True, slots=True)
+class Stream:
+    """Bytes to be decoded, and what they are."""
+
+    name: str
+    data: bytes
+
+
+@dataclass(frozen=True, slots=True)
+class Codec:
+    """A decoder, and streams for it."""
+
+    name: str
+    legal: list[bytes]
+    illegal: list[bytes]
+    decode: Decode
+
+
+def splits_of(size: int, short: bool) -> Iterator[Split]:
+    """Ways to split so many bytes: all, or at one and (unless `short`) at two places."""
+    if size <= MOST_SPLIT_IN_ALL_WAYS:
         for count in range(size):
             yield from itertools.combinations(range(1, size), count)
         return
@@ -48,14 +71,14 @@
         yield from itertools.combinations(range(1, size), 2)
 
 
-def pieces(data: bytes, cut: tuple[int, ...]) -> Iterator[bytes]:
-    """The bytes between the cuts."""
-    for begin, end in itertools.pairwise((0, *cut, len(data))):
+def pieces(data: bytes, split: Split) -> Iterator[bytes]:
+    """The bytes between the places of the split."""
+    for begin, end in itertools.pairwise((0, *split, len(data))):
         yield data[begin:end]
 
 
-def play_resp(parts: Iterator[bytes]) -> Outcome:
-    """What the RESP decoder makes of these pieces."""
+def decode_resp(parts: Iterator[bytes]) -> Outcome:
+    """Decodes RESP from these reads."""
     buffer, decoder, out = Buffer(MOST_UNREAD), resp.Decoder(), []
     try:
         for part in parts:
@@ -69,8 +92,8 @@
     return (*out,), ""
 
 
-def play_fastcgi(parts: Iterator[bytes]) -> Outcome:
-    """What the FastCGI decoder makes of these pieces; the budget must be given back in the end."""
+def decode_fastcgi(parts: Iterator[bytes]) -> Outcome:
+    """Decodes FastCGI from these reads; all of the memory budget must be released in the end."""
     budget = Budget()
     budget.most = 4e5
     buffer, decoder, out = Buffer(MOST_UNREAD), fastcgi.Decoder(budget, lambda: 1.0), []
@@ -132,7 +155,7 @@
 def legal_fastcgi() -> list[bytes]:
     """Short legal streams of FastCGI."""
     pair = b"\x01\x01ab"
-    whole = (
+    request = (
         _begin(1)
         + fastcgi.record(fastcgi.PARAMS, 1, pair)
         + fastcgi.record(fastcgi.PARAMS, 1)
@@ -140,8 +163,8 @@
     )
     return [
         _begin(1)[:8],
-        whole,
-        whole + fastcgi.record(fastcgi.ABORT, 1),
+        request,
+        request + fastcgi.record(fastcgi.ABORT, 1),
         _begin(2, 3),
         fastcgi.record(fastcgi.GET_VALUES, 0, b"\x0f\x00FCGI_MPXS_CONNS"),
         _begin(1)
@@ -171,82 +194,72 @@
 
 
 def changed(data: bytes) -> Iterator[bytes]:
-    """The stream cut off at each place, and with each byte changed."""
+    """The stream truncated at each place, and with each byte changed."""
     for at in range(len(data)):
         yield data[:at]
-        for value in CHANGES:
+        for value in CHANGED_BYTES:
             if data[at] != value:
                 yield data[:at] + bytes((value,)) + data[at + 1 :]
 
 
-def _check(
-    name: str,
-    data: bytes,
-    play: Callable[[Iterator[bytes]], Outcome],
-    cuts: Iterator[tuple[int, ...]],
-    done: Cuts,
-    legal: bool = False,
+def _violation(outcome: Outcome, expected: Outcome, legal: bool) -> Violation | None:
+    """What an outcome violates; `expected` is that of the first split of the same stream."""
+    if "kept" in outcome[1] or "too much" in outcome[1]:
+        return Violation("bounded", outcome[1])
+    if legal and outcome[1]:
+        return Violation("legal-read", outcome[1])
+    if outcome != expected:
+        return Violation("same-split", f"{outcome!r}, uncut {expected!r}"[:MOST_WHY])
+    return None
+
+
+def _check_stream(
+    stream: Stream, play: Decode, splits: Iterable[Split], checked: Checked, legal: bool = False
 ) -> None:
-    done.streams += 1
+    """Decodes a stream in each split, up to the first violation."""
+    checked.streams += 1
     expected: Outcome | None = None
-    for cut in cuts:
-        done.cuts += 1
+    for split in splits:
+        checked.splits += 1
+        violation: Violation | None
         try:
-            outcome = play(pieces(data, cut))
+            outcome = play(pieces(stream.data, split))
         except Exception as error:
-            done.found.append(
-                Found(
-                    (name, data.hex()[:200], str(cut)[:80]),
-                    Violation("clean-error", f"{type(error).__name__}: {error}"),
-                )
-            )
-            return
-        if "kept" in outcome[1] or "too much" in outcome[1]:
-            done.found.append(
-                Found((name, data.hex()[:200], str(cut)[:80]), Violation("bounded", outcome[1]))
-            )
-            return
-        expected = expected or outcome
-        if legal and outcome[1]:
-            done.found.append(
-                Found((name, data.hex()[:200], str(cut)[:80]), Violation("legal-read", outcome[1]))
-            )
-            return
-        if outcome != expected:
-            done.found.append(
-                Found(
-                    (name, data.hex()[:200], str(cut)[:80]),
-                    Violation("same-split", f"{outcome!r}, uncut {expected!r}"[:300]),
-                )
-            )
+            violation = Violation("clean-error", f"{type(error).__name__}: {error}")
+        else:
+            expected = expected or outcome
+            violation = _violation(outcome, expected, legal)
+        if violation is not None:
+            steps = (stream.name, stream.data.hex()[:MOST_HEX], str(split)[:MOST_SPLIT])
+            checked.found.append(Found(steps, violation))
             return
 
 
-def check(short: bool = False) -> Cuts:
-    """Plays all streams of both codecs."""
-    done = Cuts()
-    for name, legal, illegal, play in (
-        ("resp", legal_resp(), illegal_resp(), play_resp),
-        ("fastcgi", legal_fastcgi(), illegal_fastcgi(), play_fastcgi),
+def _few_splits(size: int) -> tuple[Split, ...]:
+    """No split, byte by byte, and in the middle."""
+    half = size // 2
+    return ((), tuple(range(1, size)), (half,)[:half])
+
+
+def _check_codec(codec: Codec, short: bool, checked: Checked) -> None:
+    for data in codec.legal:
+        splits = splits_of(len(data), short and len(data) > MOST_SHORT)
+        _check_stream(Stream(codec.name, data), codec.decode, splits, checked, legal=True)
+        for other in changed(data):
+            stream = Stream(f"{codec.name}, changed", other)
+            _check_stream(stream, codec.decode, _few_splits(len(other)), checked)
+    for data in codec.illegal:
+        every: Iterable[Split] = ((), tuple(range(1, len(data))))
+        splits = splits_of(len(data), True) if len(data) <= MOST_SPLIT_EVERYWHERE else iter(every)
+        _check_stream(Stream(f"{codec.name}, illegal", data), codec.decode, splits, checked)
+
+
+def check(short: bool = False) -> Checked:
+    """Checks all streams of both codecs; `short` leaves out the splits of long ones at two places."""
+    checked = Checked()
+    for codec in (
+        Codec("resp", legal_resp(), illegal_resp(), decode_resp),
+        Codec("fastcgi", legal_fastcgi(), illegal_fastcgi(), decode_fastcgi),
     ):
-        for data in legal:
-            _check(name, data, play, cuts_of(len(data), short and len(data) > 40), done, True)
-            for other in changed(data):
-                half = len(other) // 2
-                _check(
-                    f"{name}, changed",
-                    other,
-                    play,
-                    iter(((), tuple(range(1, len(other))), (half,)[:half])),
-                    done,
-                )
-        for data in illegal:
-            every = iter(((), tuple(range(1, len(data)))))
-            _check(
-                f"{name}, illegal",
-                data,
-                play,
-                cuts_of(len(data), True) if len(data) <= 200 else every,
-                done,
-            )
-    return done
+        _check_codec(codec, short, checked)
+    return checked
--- a/stonecove/explore/copying.py
+++ b/stonecove/explore/copying.py
@@ -1,7 +1,6 @@
-"""Three ways back to a state: taking its steps again, `copy.deepcopy`, and a pickle of the whole world.
+"""Three ways to restore a state: replaying its steps, `copy.deepcopy`, and a pickle of the whole machine.
 
-Settings are fixed and shared by all copies; so are the fixed parts of a list (`Ring`), by what they were made
-of.
+Settings never change and are shared by all copies.
 """
 
 from __future__ import annotations
@@ -40,7 +39,7 @@
     return functools.lru_cache(size)(method)
 
 
-_TABLE: dict[type, Callable[[Any], Any]] = {
+_REDUCERS: dict[type, Callable[[Any], Any]] = {
     **copyreg.dispatch_table,
     Settings: _share,
     ClassSettings: _share,
@@ -58,11 +57,11 @@
 
 
 def _number_classes(names: Iterable[tuple[str, str]]) -> None:
-    """Gives classes a number each, by which our own pickles name them: looking names up costs a quarter of a
-    copy.
+    """Registers a number for each class, by which pickles within this process name it.
 
-    The numbers hold within this process only. Reading them is harmless, so they stay in the table for that;
-    writing them is allowed for our own pickles alone, for what goes to other processes must be read there.
+    Looking classes up by name takes a quarter of the time of a copy. The numbers are valid in this process
+    only: they stay registered for reading, and are registered for writing only while a state is captured,
+    since pickles for other processes must be readable there.
     """
     for name in names:
         if name not in _numbered:
@@ -86,29 +85,29 @@
     return found
 
 
-class Way(Protocol):
-    """A way to come back to a state as often as needed."""
+class StateCopier(Protocol):
+    """Captures a state, and restores it as often as needed."""
 
-    def keep(self, machine: Machine, steps: tuple[str, ...]) -> None:
-        """Remembers the state that these steps have led to."""
+    def capture(self, machine: Machine, steps: tuple[str, ...]) -> None:
+        """Captures the state of the machine, to which these steps have led."""
 
-    def back(self) -> Machine:
-        """The state, in a machine that is nobody else's."""
+    def restore(self) -> Machine:
+        """A machine of its own in the captured state."""
 
 
 class Replay:
-    """Takes all steps again, from the start."""
+    """Replays all steps from the start."""
 
     def __init__(self, start: Callable[[], Machine]) -> None:
         self._start = start
         self._steps: tuple[str, ...] = ()
 
-    def keep(self, machine: Machine, steps: tuple[str, ...]) -> None:
-        """Remembers the steps."""
+    def capture(self, machine: Machine, steps: tuple[str, ...]) -> None:
+        """Stores the steps."""
         self._steps = steps
 
-    def back(self) -> Machine:
-        """A new run of them."""
+    def restore(self) -> Machine:
+        """A new machine after the steps."""
         return run(self._start, self._steps)
 
 
@@ -116,11 +115,11 @@
     """Copies object by object."""
 
     def __init__(self) -> None:
-        self._kept: Machine | None = None
+        self._copied: Machine | None = None
 
-    def keep(self, machine: Machine, steps: tuple[str, ...]) -> None:
-        """Keeps a copy."""
-        self._kept = self._copy(machine)
+    def capture(self, machine: Machine, steps: tuple[str, ...]) -> None:
+        """Stores a copy."""
+        self._copied = self._copy(machine)
 
     @staticmethod
     def _copy(machine: Machine) -> Machine:
@@ -137,23 +136,23 @@
             for cls in extra:
                 before.pop(cls, None)
 
-    def back(self) -> Machine:
+    def restore(self) -> Machine:
         """A copy of the copy."""
-        assert self._kept is not None
-        return self._copy(self._kept)
+        assert self._copied is not None
+        return self._copy(self._copied)
 
 
 class Pickle:
-    """Writes the whole machine into bytes once, and reads them as often as needed."""
+    """Pickles the whole machine once, and unpickles it as often as needed."""
 
     def __init__(self) -> None:
         self._data = b""
 
-    def keep(self, machine: Machine, steps: tuple[str, ...]) -> None:
-        """Writes it."""
+    def capture(self, machine: Machine, steps: tuple[str, ...]) -> None:
+        """Pickles the machine."""
         out = io.BytesIO()
         pickler = pickle.Pickler(out, pickle.HIGHEST_PROTOCOL)
-        pickler.dispatch_table = _TABLE
+        pickler.dispatch_table = _REDUCERS
         copyreg._extension_registry.update(_numbered)  # type: ignore[attr-defined]
         try:
             pickler.dump(machine)
@@ -161,12 +160,12 @@
             for name in _numbered:
                 del copyreg._extension_registry[name]  # type: ignore[attr-defined]
         self._data = out.getvalue()
-        if not _numbered:  # from the first pickle on, the classes that it names go by numbers
+        if not _numbered:  # the first pickle shows which classes need numbers
             _number_classes(_named_in(self._data))
-            self.keep(machine, steps)
+            self.capture(machine, steps)
 
-    def back(self) -> Machine:
-        """Reads it."""
+    def restore(self) -> Machine:
+        """A machine from the pickle."""
         machine: Machine = pickle.loads(self._data)
         return machine
 
--- a/stonecove/explore/machine.py
+++ b/stonecove/explore/machine.py
@@ -1,4 +1,4 @@
-"""What the search asks of a machine that it explores."""
+"""The interface between the search and the machines that it explores."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Violation(NamedTuple):
-    """A property that does not hold, and what shows it."""
+    """A property that does not hold, and the evidence."""
 
     prop: str
     why: str
@@ -17,7 +17,7 @@
 
     @property
     def violations(self) -> list[Violation]:
-        """What was found not to hold."""
+        """The violations found so far."""
 
     def enabled(self) -> list[str]:
         """The steps that may be taken now, always in the same order for the same state."""
@@ -32,12 +32,12 @@
         """The parts of the state that the step reads or writes; None: perhaps all of them."""
 
     def default(self) -> str | None:
-        """The step by which things go on if nobody chooses; None when all is quiet."""
+        """The step that is taken if no peer does anything; None when all is quiet."""
 
     def settle(self) -> None:
-        """Goes on by itself until all is quiet, and checks what must hold then."""
+        """Takes default steps until all is quiet, and checks what must hold then."""
 
 
 def independent(one: frozenset[str] | None, other: frozenset[str] | None) -> bool:
-    """Whether two steps give the same state in either order: each stays within parts of its own."""
+    """Whether two steps commute: they touch no part in common, so either order gives the same state."""
     return one is not None and other is not None and not one & other
--- a/stonecove/explore/model/caches.py
+++ b/stonecove/explore/model/caches.py
@@ -7,7 +7,7 @@
 from stonecove.explore.model.clients import ETAG, Clients, place_of, txn_id
 from stonecove.explore.model.harness import START, Harness
 from stonecove.explore.peers import PartialAnswer, ServerChannel, SocketEnd
-from stonecove.explore.scope import ANSWERS, FREE, Scope
+from stonecove.explore.scope import ANSWERS, NORMAL_ANSWERS, Scope
 from stonecove.wire import resp
 
 STALE_AGE = 5000.0  # milliseconds by which a stale copy was born before the start
@@ -202,7 +202,7 @@
         steps = [
             f"{answer} {name} {place}"
             for answer in self._scope.answers
-            if (answer in FREE or fault_allowed) and (answer != "same" or self._scope.seen)
+            if (answer in NORMAL_ANSWERS or fault_allowed) and (answer != "same" or self._scope.seen)
         ]
         if fault_allowed:
             kinds = self._scope.kinds
@@ -221,7 +221,7 @@
             if channel.up and not (channel.over or channel.sock.end or channel._full or channel._queue):
                 for txn in channel.asked:
                     if txn not in channel.aborted and txn not in channel.link.open:
-                        harness.violated("cancelled", f"{name} was not told of an attempt given up")
+                        harness.violated("cancelled", f"{name} was not notified of a cancelled attempt")
 
     def commands_will_go(self, channel: ServerChannel) -> bool:
         """Whether all commands that wait on the connection will be written, so that none ends an attempt."""
--- a/stonecove/explore/model/change_log.py
+++ b/stonecove/explore/model/change_log.py
@@ -118,7 +118,7 @@
         return all(self.follower.take(frame, self) for frame in frames(buffer))
 
     def told(self, event: Told) -> None:
-        """The follower's callback: passes an event to the observer, then to the router."""
+        """Called by the follower with each event; passes it to the observer, then to the router."""
         self.received += 1
         observer = self._harness.observer
         if isinstance(event, MembersTold):
@@ -132,5 +132,5 @@
         if self.up and not self.follower.last == self.received == len(self.frames):
             self._harness.violated(
                 "log-followed",
-                f"{len(self.frames)} events, {self.received} told, last {self.follower.last}",
+                f"{len(self.frames)} events, {self.received} received, last {self.follower.last}",
             )
--- a/stonecove/explore/model/clients.py
+++ b/stonecove/explore/model/clients.py
@@ -59,7 +59,7 @@
 def _object_key(cls: str, caches: tuple[int, ...]) -> int:
     """The least object of the class whose caches in hash order are those, so that c1 is always its home."""
     ring = Ring([Node(node, CACHE, 0.0, NodeState.READY, 0, 1, 1.0) for node in caches], False)
-    key = 1000 * (1 + bounds.ORDER.index(cls))
+    key = 1000 * (1 + bounds.CLASS_ORDER.index(cls))
     while ring.order(part_key(Request(1, 0, key, 0.0, 0.0, 0, 0))) != caches:
         key += 1
     return key
--- a/stonecove/explore/model/steps.py
+++ b/stonecove/explore/model/steps.py
@@ -10,7 +10,7 @@
 
 from stonecove.explore.model.clients import txn_id
 from stonecove.explore.model.state import ModelState
-from stonecove.explore.scope import ALL_FAULTS, ANSWERS, FREE
+from stonecove.explore.scope import ALL_FAULTS, ANSWERS, NORMAL_ANSWERS
 from stonecove.interface import NodeState
 
 DIGITS = "0123456789"
@@ -83,7 +83,7 @@
     """Carries out one step, and counts it if it is a fault."""
     word, arguments = split(step)
     if word in ANSWERS:
-        state.faults -= word not in FREE
+        state.faults -= word not in NORMAL_ANSWERS
         state.caches.answer(word, arguments[0], int(arguments[1]))
         return
     kind = word.rstrip(DIGITS)
--- a/stonecove/explore/mutation_run.py
+++ b/stonecove/explore/mutation_run.py
@@ -1,4 +1,4 @@
-"""Runs whole explorations: a list of scopes, the small machines, the seeded faults, walks."""
+"""Runs whole explorations: scopes, the two smaller machines, random walks, and the search for mutations."""
 
 from __future__ import annotations
 
@@ -10,89 +10,101 @@
 
 from stonecove.explore import codecs, mutations
 from stonecove.explore.channels import ChannelMachine
+from stonecove.explore.expander import Setup, WorkerPool
 from stonecove.explore.machine import Machine
+from stonecove.explore.results import Found, MachineFactory, Result
 from stonecove.explore.scope import SMALL, WALK, Scope, named
-from stonecove.explore.search import Crew, Found, Options, Result, Start, breadth_first
-from stonecove.explore.trace import Trace, shrink, world_start
+from stonecove.explore.search import Options, Progress, breadth_first
+from stonecove.explore.trace import Trace, model_factory, shrink
 from stonecove.explore.walk import Walks, walk
 
 CHANNEL_DEPTH = 14
-PER_SCOPE = 400.0  # seconds after which a scope is given up, and told as incomplete
+MOST_SECONDS_PER_SCOPE = 400.0  # then a scope is given up, and reported as incomplete
+DEFAULT_OPTIONS = Options()
+CODECS, CHANNEL = "codecs", "channel"  # the smaller machines, where a scope may be named
 
 
-def channel_start(seed: str = "") -> Start:
-    """What starts the machine of a connection's life, a seed planted."""
-    mutations.plant(seed)
+def channel_factory(mutation: str = "") -> MachineFactory:
+    """The factory of the machine of one connection; plants the mutation in this process."""
+    mutations.plant(mutation)
 
-    def start() -> Machine:
+    def factory() -> Machine:
         return ChannelMachine()
 
-    return start
+    return factory
 
 
 def explore(
     scope: Scope,
-    crew: Crew,
-    options: Options | None = None,
-    seed: str = "",  # noqa: B008
-    progress: Callable[[Result, int], None] | None = None,
+    workers: WorkerPool,
+    options: Options = DEFAULT_OPTIONS,
+    mutation: str = "",
+    progress: Progress | None = None,
 ) -> Result:
-    """Plays all of a scope."""
-    return breadth_first(
-        crew, world_start, (scope, seed), scope.depth, options or Options(), f"{scope}/{seed}", progress
-    )
+    """Explores all states of a scope."""
+    setup = Setup(model_factory, (scope, mutation), scope.depth, options.reduce, options.copying)
+    return breadth_first(workers, setup, options, f"{scope}/{mutation}", progress)
 
 
 def explore_all(
     scopes: tuple[Scope, ...],
-    crew: Crew,
+    workers: WorkerPool,
     save: Path | None = None,
-    tell: Callable[[str, Result], None] | None = None,
+    report: Callable[[str, Result], None] | None = None,
     save_every: float = 20.0,
 ) -> Result:
-    """Plays scopes one after the other, and the two smaller machines.
+    """Explores scopes one after the other, then the two smaller machines.
 
-    With `save`, each scope keeps its frontier in a file of that name and the scope's; what is done is marked
-    there by its result, so that a later run goes on with the rest.
+    With `save`, each scope's frontier is saved in a file of that name and the scope's, from which a later
+    run continues. `report` is called with the name and the result of each scope.
     """
     total = Result()
+
+    def done(name: str, result: Result) -> None:
+        total.add(result)
+        if report:
+            report(name, result)
+
     for scope in scopes:
         path = save.with_name(f"{save.name}.{scope.name}") if save else None
-        result = explore(scope, crew, Options(most_seconds=PER_SCOPE, save=path, save_every=save_every))
-        total.add(result)
-        if tell:
-            tell(scope.name, result)
-    for name, result in (("channel", explore_channel(crew)), ("codecs", explore_codecs())):
-        total.add(result)
-        if tell:
-            tell(name, result)
+        options = Options(most_seconds=MOST_SECONDS_PER_SCOPE, save=path, save_every=save_every)
+        done(scope.name, explore(scope, workers, options))
+    done(CHANNEL, explore_channel(workers))
+    done(CODECS, explore_codecs())
     return total
 
 
-def explore_channel(crew: Crew, seed: str = "", stop_at_first: bool = False) -> Result:
-    """Plays the life of a connection."""
-    return breadth_first(crew, channel_start, (seed,), CHANNEL_DEPTH, Options(stop_at_first=stop_at_first))
+def explore_channel(workers: WorkerPool, mutation: str = "", stop_at_first: bool = False) -> Result:
+    """Explores the life of one connection."""
+    setup = Setup(channel_factory, (mutation,), CHANNEL_DEPTH)
+    return breadth_first(workers, setup, Options(stop_at_first=stop_at_first))
 
 
-def explore_codecs(seed: str = "", short: bool = True) -> Result:
-    """Plays all cuts of the streams of both codecs; a stream counts as a state, a cut as a transition."""
+def explore_codecs(mutation: str = "", short: bool = True) -> Result:
+    """Splits the streams of both codecs in all ways; a stream counts as a state, a split as a transition."""
     began = time.monotonic()
-    mutations.plant(seed)
+    mutations.plant(mutation)
     try:
-        done = codecs.check(short)
+        checked = codecs.check(short)
     finally:
         mutations.plant("")
     return Result(
-        states=done.streams, transitions=done.cuts, seconds=time.monotonic() - began, found=done.found
+        states=checked.streams,
+        transitions=checked.splits,
+        seconds=time.monotonic() - began,
+        found=checked.found,
     )
 
 
+# -- mutations --
+
+
 @dataclass(frozen=True)
-class Caught:
-    """What became of a seeded fault."""
+class MutationResult:
+    """Whether a mutation was found, and where."""
 
     name: str
-    breaks: str  # the property that it was to break
+    breaks: str  # the property that it was expected to violate
     where: str = ""  # the scope that found it; empty if none did
     found: Found | None = None
     states: int = 0  # until then, over all scopes that were tried
@@ -100,91 +112,81 @@
     crash: str = ""
 
     def trace(self) -> Trace | None:
-        """The counterexample, if it is one of the router's world."""
-        if self.found is None or self.where in ("codecs", "channel"):
+        """The counterexample, if it is one of the router model."""
+        if self.found is None or self.where in (CODECS, CHANNEL):
             return None
-        return Trace(
-            named(SMALL, self.where),
-            self.found.steps,
-            self.found.violation.prop,
-            self.found.violation.why,
-            self.name,
-        )
-
-
-def catch(name: str) -> Caught:
-    """Looks for one seeded fault, in this process; takes it out again."""
-    seed = mutations.by_name(name)
+        violation = self.found.violation
+        return Trace(named(SMALL, self.where), self.found.steps, violation.prop, violation.why, self.name)
+
+
+def search_mutation(name: str) -> MutationResult:
+    """Searches the scopes of one mutation in this process, and restores the code afterwards."""
+    mutation = mutations.by_name(name)
     began, states = time.monotonic(), 0
+    where, found, crash = "", None, ""
     try:
-        with Crew(1) as crew:
-            for where in seed.scopes:
-                if where == "codecs":
-                    result = explore_codecs(name)
-                elif where == "channel":
-                    result = explore_channel(crew, name, stop_at_first=True)
-                else:
-                    result = explore(named(SMALL, where), crew, Options(stop_at_first=True), name)
+        with WorkerPool(1) as workers:
+            for scope in mutation.scopes:
+                result = _explore_mutated(scope, name, workers)
                 states += result.states
                 if result.found:
-                    right = [found for found in result.found if found.violation.prop == seed.breaks]
-                    return Caught(
-                        name,
-                        seed.breaks,
-                        where,
-                        (right or result.found)[0],
-                        states,
-                        time.monotonic() - began,
-                    )
-        return Caught(name, seed.breaks, states=states, seconds=time.monotonic() - began)
+                    where, found = scope, _expected_or_first(result.found, mutation.breaks)
+                    break
     except Exception as error:
-        return Caught(name, seed.breaks, states=states, seconds=time.monotonic() - began, crash=repr(error))
+        crash = repr(error)
     finally:
         mutations.plant("")
+    return MutationResult(name, mutation.breaks, where, found, states, time.monotonic() - began, crash)
 
 
-def wander(first: int, count: int, steps: int, scope: Scope = WALK, seed: str = "") -> Walks:
-    """Walks with the chance seeds from `first` on; stops at the first violation, shrunk."""
-    done = Walks()
-    start = world_start(scope, seed)
-    try:
-        for chance in range(first, first + count):
-            walk(start, scope, chance, steps, done)
-            if done.found:
-                found = done.found[0]
-                done.found[0] = Found(shrink(start, found.steps, found.violation.prop), found.violation)
-                break
-    finally:
-        mutations.plant("")
-    return done
+def _explore_mutated(scope: str, mutation: str, workers: WorkerPool) -> Result:
+    if scope == CODECS:
+        return explore_codecs(mutation)
+    if scope == CHANNEL:
+        return explore_channel(workers, mutation, stop_at_first=True)
+    return explore(named(SMALL, scope), workers, Options(stop_at_first=True), mutation)
+
 
+def _expected_or_first(found: list[Found], prop: str) -> Found:
+    return next((one for one in found if one.violation.prop == prop), found[0])
 
-def catch_all(names: list[str], processes: int) -> list[Caught]:
-    """Looks for several faults, each in one process of a pool; in the order of the names."""
+
+def search_mutations(names: list[str], processes: int) -> list[MutationResult]:
+    """Searches several mutations, each in one process of a pool; in the order of the names."""
     if processes == 1:
-        return list(map(catch, names))
+        return list(map(search_mutation, names))
     with multiprocessing.get_context("spawn").Pool(processes) as pool:
-        return pool.map(catch, names, chunksize=1)
+        return pool.map(search_mutation, names, chunksize=1)
+
 
+# -- random walks --
 
-def wander_all(first: int, count: int, steps: int, processes: int) -> Walks:
-    """Walks on several processes; the same walks, whatever their number."""
-    spans = [(chance, 1, steps) for chance in range(first, first + count)]
+
+def random_walks(first_seed: int, count: int, steps: int, scope: Scope = WALK, mutation: str = "") -> Walks:
+    """Walks with the random seeds from `first_seed` on; stops at the first violation, with a short trace."""
+    walks = Walks()
+    factory = model_factory(scope, mutation)
+    try:
+        for seed in range(first_seed, first_seed + count):
+            walk(factory, seed, steps, walks)
+            if walks.found:
+                found = walks.found[0]
+                walks.found[0] = Found(shrink(factory, found.steps, found.violation.prop), found.violation)
+                break
+    finally:
+        mutations.plant("")
+    return walks
+
+
+def random_walks_in_parallel(first_seed: int, count: int, steps: int, processes: int) -> Walks:
+    """Walks on several processes; the same walks for any number of them."""
+    spans = [(seed, 1, steps) for seed in range(first_seed, first_seed + count)]
     total = Walks()
     if processes == 1:
-        parts = list(map(wander_apart, spans))
+        parts = [random_walks(*span) for span in spans]
     else:
         with multiprocessing.get_context("spawn").Pool(processes) as pool:
-            parts = pool.map(wander_apart, spans, chunksize=1)
+            parts = pool.starmap(random_walks, spans, chunksize=1)
     for part in parts:
-        total.walks += part.walks
-        total.steps += part.steps
-        total.found += part.found
-        for word, times in part.words.items():
-            total.words[word] = total.words.get(word, 0) + times
+        total.add(part)
     return total
-
-
-def wander_apart(span: tuple[int, int, int]) -> Walks:
-    """For a pool: (first, count, steps)."""
-    return wander(*span)
--- a/stonecove/explore/peers.py
+++ b/stonecove/explore/peers.py
@@ -28,7 +28,7 @@
 
 
 class ChannelObserver(Protocol):
-    """Who is told what happens on the connections to caches."""
+    """Is notified of what happens on the connections to caches."""
 
     def violated(self, prop: str, why: str) -> None:
         """A property does not hold."""
--- a/stonecove/explore/properties.py
+++ b/stonecove/explore/properties.py
@@ -40,13 +40,15 @@
         Property(
             "harmless-refusal", "a refusal is worded only where trying again is harmless", "WIRE 2 rule 2"
         ),
-        Property("no-drained", "no first byte goes to a node told as draining or gone", "WIRE 2 rule 3"),
+        Property(
+            "no-drained", "no first byte goes to a node that is listed as draining or gone", "WIRE 2 rule 3"
+        ),
         Property(
             "no-drained-source", "none names such a node as the source of a fill", "WIRE 2 rule 3; 15 rules"
         ),
         Property(
             "no-purged",
-            "no answer from a copy older than a purge told before its first byte",
+            "no answer from a copy older than a purge received before its first byte",
             "WIRE 2 rule 5",
         ),
         Property(
@@ -55,10 +57,12 @@
         Property(
             "as-made", "what is served is what a cache made for this request", "PROTOCOL, rules on sockets"
         ),
-        Property("unrun-is-unrun", "what was never written is never told as perhaps run", "README, way out"),
+        Property(
+            "unrun-is-unrun", "what was never written is never reported as perhaps run", "README, way out"
+        ),
         Property(
             "run-is-run",
-            "what was written is not told as never run, but by the cache's own word",
+            "what was written is not reported as never run, unless the cache says so",
             "README, way out",
         ),
         Property("ends-once", "each attempt ends once", "house style: every attempt ends once"),
@@ -66,7 +70,7 @@
         Property("one-id", "an id is open once at a time on a connection", "PROTOCOL, routers to caches"),
         Property(
             "cancelled",
-            "what is still out when its request is over is given up, and the cache is told",
+            "attempts in flight when their request ends are cancelled, and the cache is notified",
             "PROTOCOL, abort; settings limits.cancel",
         ),
         Property(
@@ -79,26 +83,26 @@
             "each event of the change log is taken once, in its order",
             "PROTOCOL, change log",
         ),
-        Property("no-slip", "nothing in the router raises what nobody expects", "ONCALL, bug"),
+        Property("no-slip", "no part of the router raises an unexpected exception", "ONCALL, bug"),
         Property(
             "no-leak",
-            "when all is quiet, everything held is back at its start",
+            "when all is quiet, every resource is released",
             "README: budget, connections and books",
         ),
         Property("ends", "from every state all taken requests reach their end", "liveness; WIRE 2 rule 1"),
         Property("same-split", "a decoder gives the same for every split of the same bytes", "codecs"),
         Property("legal-read", "a legal stream is read to its end", "codecs"),
         Property(
-            "gone-closed", "connections to a node that is listed no more are closed", "README; Send.gone"
+            "gone-closed", "connections to a node that is no longer listed are closed", "README; Send.gone"
         ),
         Property("bounded", "a decoder holds no more than its bound", "codecs"),
-        Property("clean-error", "bytes that can't be read give the codec's own error", "codecs"),
+        Property("clean-error", "bytes that can't be decoded raise the codec's own error", "codecs"),
         Property(
             "told-once",
-            "a connection tells its owner of its end once, and nothing after it",
+            "a connection notifies its owner of its end once, and of nothing afterwards",
             "wire/channel",
         ),
-        Property("order-kept", "commands go out whole and in their order", "wire/channel"),
+        Property("order-kept", "commands are written completely and in their order", "wire/channel"),
     )
 }
 
@@ -160,7 +164,7 @@
     due: float  # Unix milliseconds by which it must be answered
     state: RequestState = RequestState.OPEN
     attempts: list[ObservedAttempt] = field(default_factory=list)
-    ended: list[int] = field(default_factory=list)  # attempts that the decision module was told have ended
+    ended: list[int] = field(default_factory=list)  # attempts whose end the decision module was notified of
     orders: int = 0
     copies: dict[bytes, ObservedCopy] = field(default_factory=dict)  # by the body of the answer
     codes: dict[int, str] = field(default_factory=dict)  # by attempt: the answer code that reached the router
@@ -351,7 +355,7 @@
         name = f"object {purge.key:x}" if purge.key else f"group {purge.group}"
         self.violated(
             "no-purged",
-            f"a copy born {purge.purged_at - copy.born:.0f} ms before the purge of {name}, told "
+            f"a copy born {purge.purged_at - copy.born:.0f} ms before the purge of {name}, received "
             f"{copy.sent_at - purge.notified_at:.0f} ms before its first byte",
         )
 
--- a/stonecove/explore/reach.py
+++ b/stonecove/explore/reach.py
@@ -1,4 +1,4 @@
-"""Which lines and branches of the core an exploration has played, and why the others were not."""
+"""Coverage: which lines and branches of the core an exploration executes, and why the others are not."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 import re
 import tempfile
 from collections.abc import Iterator
+from dataclasses import dataclass
 from pathlib import Path
 
 import coverage
@@ -15,11 +16,12 @@
 from stonecove.explore import mutation_run
 from stonecove.explore.properties import PROPERTIES
 from stonecove.explore.scope import SMALL, WALK
-from stonecove.explore.search import Crew, Options
-from stonecove.explore.trace import world_start
+from stonecove.explore.expander import WorkerPool
+from stonecove.explore.trace import model_factory
 from stonecove.explore.walk import Walks, walk
 
 ROOT = Path(stonecove.__file__).parent
+WALKS, WALK_STEPS = 3, 1500
 CORE = (
     "choice.py",
     "exchange.py",
@@ -42,7 +44,7 @@
     "wire/session.py",
 )
 
-# Why a line may be left out, by what its function is for; the first that fits holds.
+# Why lines may be missed: file, pattern of function names, reason. The first that matches holds.
 REASONS: tuple[tuple[str, str, str], ...] = (
     (
         "choice.py",
@@ -58,10 +60,10 @@
     (
         "choice.py",
         "_on_list|_on_request|Director.__init__|handle",
-        "lists by asking and unknown classes, which the simulator alone has",
+        "polled lists and unknown classes, which only the simulator has",
     ),
     ("choice.py", "_leave|_may_repeat|_copy_wanted", "cold budgets, no second copies, stale times"),
-    ("choice.py", "_on_end", "guards against late events, which the stages never send"),
+    ("choice.py", "_on_end", "late events, which the stages never send"),
     ("exchange.py", "__init__", "bad requests: tests/test_router.py"),
     ("ground/timers.py", "next_due|_make", "an alarm that raises; the seeded faults and tests play it"),
     ("stages/book.py", "ended", "the second line against a second end: every caller looks first"),
@@ -95,12 +97,12 @@
         "",
         "a whole core is never overdrawn by waiting in the scopes; the load day plays it",
     ),
-    ("", "__len__|line|stats", "counts told to people"),
+    ("", "__len__|line|stats", "counts for people alone"),
 )
 
 
 def _functions(path: Path) -> dict[int, str]:
-    """The function that each line stands in."""
+    """By line number: the qualified name of the function that contains the line."""
     found: dict[int, str] = {}
     stack: list[tuple[int, str]] = []
     for number, line in enumerate(path.read_text().splitlines(), 1):
@@ -115,7 +117,7 @@
 
 
 def at_import(path: Path) -> set[int]:
-    """The lines that run when a module is imported, which was before anything was played."""
+    """The lines that run when a module is imported, which is before coverage starts."""
     found: set[int] = set()
     waiting: list[ast.stmt] = list(ast.parse(path.read_text()).body)
     while waiting:
@@ -132,7 +134,7 @@
 
 
 def reason(file: str, function: str) -> str:
-    """Why lines of a function were not reached; empty if no reason is on record."""
+    """Why lines of a function were not executed; empty if no reason is recorded."""
     for where, names, why in REASONS:
         if where in ("", file) and (not names or re.search(rf"(^|\.)({names})$", function)):
             return why
@@ -140,52 +142,76 @@
 
 
 def report(depth: int, lines: bool) -> Iterator[str]:
-    """Plays the small scope to that depth and some walks under coverage, and tells what was reached."""
+    """Explores the small scope to that depth, and yields the lines of the report.
+
+    `lines` adds the numbers of the lines that were not executed, with the reason.
+    """
     yield "Properties:"
     for prop in PROPERTIES.values():
         yield f"  {prop.name:18} {prop.text} [{prop.source}]"
     yield "Hard cases, and the scope that holds each:"
-    for case, place in HARD_CASES.items():
-        yield f"  {place:10} {case}"
+    for case, scope in HARD_CASES.items():
+        yield f"  {scope:10} {case}"
+    cover = _explore_under_coverage(depth)
+    statements = missed = unexplained = 0
+    for name in CORE:
+        file = _file_coverage(cover, name)
+        statements += file.statements
+        missed += file.missed()
+        unexplained += sum(not reason(name, function) for function in file.missing)
+        yield f"{name:20} {file.statements - file.missed():4} of {file.statements:4} lines"
+        if lines:
+            yield from _missing_lines(file)
+    branches, taken = _branches(cover)
+    yield (f"lines={statements} missed={missed} branches={branches} taken={taken} unexplained={unexplained}")
+
+
+def _explore_under_coverage(depth: int) -> coverage.Coverage:
+    """Runs the small scope to that depth, the smaller machines and some walks."""
     cover = coverage.Coverage(data_file=None, branch=True, include=[str(ROOT / name) for name in CORE])
     cover.start()
     try:
-        with Crew(1) as crew:
+        with WorkerPool(1) as workers:
             for scope in SMALL:
-                mutation_run.explore(scope.with_bounds(depth=min(depth, scope.depth)), crew, Options())
-            mutation_run.explore_channel(crew)
+                mutation_run.explore(scope.with_bounds(depth=min(depth, scope.depth)), workers)
+            mutation_run.explore_channel(workers)
         mutation_run.explore_codecs()
-        done = Walks()
-        for chance in range(3):
-            walk(world_start(WALK), WALK, chance, 1500, done)
+        walks = Walks()
+        for seed in range(WALKS):
+            walk(model_factory(WALK), seed, WALK_STEPS, walks)
     finally:
         cover.stop()
-    total_lines = total_missed = 0
-    unexplained: list[str] = []
-    for name in CORE:
-        path = ROOT / name
-        _, statements, _, missing, _ = cover.analysis2(str(path))
-        imported = at_import(path)
-        statements = [line for line in statements if line not in imported]
-        missing = [line for line in missing if line not in imported]
-        total_lines += len(statements)
-        total_missed += len(missing)
-        yield f"{name:20} {len(statements) - len(missing):4} of {len(statements):4} lines"
-        functions = _functions(path)
-        by_function: dict[str, list[int]] = {}
-        for line in missing:
+    return cover
+
+
+@dataclass(frozen=True)
+class FileCoverage:
+    """The executable lines of a file, without those that run when it is imported."""
+
+    name: str
+    statements: int
+    missing: dict[str, list[int]]  # by function: the lines that were not executed
+
+    def missed(self) -> int:
+        """How many lines were not executed."""
+        return sum(map(len, self.missing.values()))
+
+
+def _file_coverage(cover: coverage.Coverage, name: str) -> FileCoverage:
+    path = ROOT / name
+    _, statements, _, missing, _ = cover.analysis2(str(path))
+    imported, functions = at_import(path), _functions(path)
+    by_function: dict[str, list[int]] = {}
+    for line in missing:
+        if line not in imported:
             by_function.setdefault(functions.get(line, ""), []).append(line)
-        for function, numbers in by_function.items():
-            why = reason(name, function)
-            if not why:
-                unexplained.append(f"{name}:{function}")
-            if lines:
-                yield f"    {function}: {', '.join(map(str, numbers))}: {why or 'NO REASON ON RECORD'}"
-    branches, taken = _branches(cover)
-    yield (
-        f"lines={total_lines} missed={total_missed} branches={branches} taken={taken} "
-        f"unexplained={len(unexplained)}"
-    )
+    return FileCoverage(name, sum(line not in imported for line in statements), by_function)
+
+
+def _missing_lines(file: FileCoverage) -> Iterator[str]:
+    for function, numbers in file.missing.items():
+        why = reason(file.name, function) or "NO REASON ON RECORD"
+        yield f"    {function}: {', '.join(map(str, numbers))}: {why}"
 
 
 def _branches(cover: coverage.Coverage) -> tuple[int, int]:
@@ -208,7 +234,7 @@
     "SIGTERM while a pick-confirm is half written": "stop",
     "deadline, cut-off timer and answer in one instant": "deadline",
 }
-# Steps that show each hard case: played by the tests, which look that the exploration takes them.
+# Steps that reproduce each hard case; the tests check that the exploration includes them.
 HARD_STEPS: dict[str, tuple[str, ...]] = {
     "a cancel that crosses a late answer": (
         "ask 0",
--- /dev/null
+++ b/stonecove/explore/results.py
@@ -0,0 +1,56 @@
+"""What a search finds: traces of steps, violations and counts."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+from stonecove.explore.machine import Machine, Violation
+
+Steps = tuple[str, ...]
+MachineFactory = Callable[[], Machine]
+SETTLE = "settle"  # the last step of a trace whose violation shows only once the machine has settled
+
+
+class Found(NamedTuple):
+    """A violation, and the steps that lead to it."""
+
+    steps: Steps
+    violation: Violation
+
+
+@dataclass
+class Result:
+    """The counts and violations of one or several searches."""
+
+    states: int = 0
+    transitions: int = 0
+    depth: int = 0
+    settled: int = 0  # states of the last depth that were settled
+    seconds: float = 0.0
+    bytes_visited: int = 0
+    complete: bool = True
+    found: list[Found] = field(default_factory=list)
+
+    def add(self, other: Result) -> None:
+        """Adds the result of another search."""
+        self.states += other.states
+        self.transitions += other.transitions
+        self.settled += other.settled
+        self.seconds += other.seconds
+        self.depth = max(self.depth, other.depth)
+        self.bytes_visited += other.bytes_visited
+        self.complete &= other.complete
+        self.found += other.found
+
+
+def replay(factory: MachineFactory, steps: Steps) -> Machine:
+    """A new machine after these steps, of which the last may be `SETTLE`."""
+    machine = factory()
+    for step in steps:
+        if step == SETTLE:
+            machine.settle()
+        else:
+            machine.do(step)
+    return machine
--- a/stonecove/explore/scope.py
+++ b/stonecove/explore/scope.py
@@ -1,4 +1,4 @@
-"""The bounds of an exploration: who is there, what may go wrong, and how often."""
+"""The bounds of an exploration: which peers there are, which faults may occur, and how many."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 from stonecove.interface import ClassSettings, Effect, KeyGroup, Settings
 
-# Spans are short, so that few alarms lie between a request and its end: it is their order that matters.
-DEADLINE = 400.0
+# Times are short, so that few alarms fall between a request and its end: only their order matters.
+DEADLINE = 400.0  # milliseconds
 CLASSES = {
     "image": ClassSettings(
         "image", 1.0, 0.2, 200.0, 0.0, DEADLINE, Effect.SAFE, KeyGroup.ALL, 0.0, 0.0, 0.0, 0.5, False
@@ -23,9 +23,9 @@
         "page", 1.0, 0.2, 200.0, 0.0, DEADLINE, Effect.SAFE, KeyGroup.ALL, 0.0, 300.0, 0.0, 0.5, False
     ),
 }
-ORDER = tuple(CLASSES)
+CLASS_ORDER = tuple(CLASSES)
 CACHE, PARENT, ORIGIN = range(3)
-PURGE_SETTLES = 800.0
+PURGE_DONE = 800.0
 
 
 def settings(most_attempts: int, cancel: bool = True) -> Settings:
@@ -51,7 +51,7 @@
         parent_warm_up=2000.0,
         parent_fall_multiple=4.0,
         purge_grace=100.0,
-        purge_done=PURGE_SETTLES,
+        purge_done=PURGE_DONE,
         drain_grace=100.0,
         most_attempts=most_attempts,
         second_copies=True,
@@ -70,7 +70,7 @@
     )
 
 
-ANSWERS: dict[str, tuple[str, str]] = {  # the word and the note of each answer that a cache may give
+ANSWERS: dict[str, tuple[str, str]] = {  # by the word of the step: the code and the note of an answer
     "hit": ("200", "hit"),
     "filled": ("200", "filled"),
     "via": ("200", "via_origin"),
@@ -88,10 +88,10 @@
     "noslot": ("503", "no_slot"),
     "orgfail": ("500", "origin_failed"),
 }
-FREE = ("hit", "filled")  # answers that are no fault
+NORMAL_ANSWERS = ("hit", "filled")  # answers that do not count as faults
 
-# What may go wrong; each use is one fault.
-ON_LINKS = (
+# The kinds of faults; each use counts as one.
+CONNECTION_FAULTS = (
     "refuse",
     "never",
     "lack",
@@ -104,37 +104,39 @@
     "half",
     "trickle",
 )
-ON_NODES = ("drain", "gone", "replace", "restart", "back", "join")
-ON_PURGES = ("purge", "purgeall")
-ON_LOG = ("cut", "repeat", "gap")
-ON_CLIENTS = ("abort", "leave", "retry", "stall")
-ON_US = ("term", "reload", "nomem", "nocpu", "nolinks")
-ALL_FAULTS = ON_LINKS + ON_NODES + ON_PURGES + ON_LOG + ON_CLIENTS + ON_US
+NODE_FAULTS = ("drain", "gone", "replace", "restart", "back", "join")
+PURGE_FAULTS = ("purge", "purgeall")
+CHANGE_LOG_FAULTS = ("cut", "repeat", "gap")
+CLIENT_FAULTS = ("abort", "leave", "retry", "stall")
+ROUTER_FAULTS = ("term", "reload", "nomem", "nocpu", "nolinks")
+ALL_FAULTS = (
+    CONNECTION_FAULTS + NODE_FAULTS + PURGE_FAULTS + CHANGE_LOG_FAULTS + CLIENT_FAULTS + ROUTER_FAULTS
+)
 
 
 @dataclass(frozen=True, slots=True)
 class Scope:
-    """Bounds of one exploration. `requests` are classes; the same class twice asks for the same object."""
+    """The bounds of one exploration. The names of the fields are stored in traces and saved frontiers."""
 
     name: str
-    requests: tuple[str, ...]
+    requests: tuple[str, ...]  # their classes; requests of one class ask for the same object
     caches: int = 2
     parents: int = 1
-    attempts: int = 2
-    faults: int = 1
-    depth: int = 12
-    kinds: tuple[str, ...] = ()
-    answers: tuple[str, ...] = FREE
-    fine: bool = False  # the router's own turns are steps of their own: deciding, and noticing an end
-    seen: bool = False  # clients hold a copy
+    attempts: int = 2  # at most, for each request
+    faults: int = 1  # at most, in a run
+    depth: int = 12  # steps
+    kinds: tuple[str, ...] = ()  # of faults
+    answers: tuple[str, ...] = NORMAL_ANSWERS
+    fine: bool = False  # the router's own turns (decisions, noticing an end) are steps of their own
+    seen: bool = False  # clients have a copy and send its tag
     cancel: bool = True  # whether attempts may be cancelled
-    relief: bool = False  # what was short comes back
-    targets: tuple[str, ...] = ("c1", "c2", "p1", "o1")  # nodes that the list's faults may strike
-    prefix: tuple[str, ...] = ()  # steps taken at the start, without being counted
+    relief: bool = False  # limits may return to their first values
+    targets: tuple[str, ...] = ("c1", "c2", "p1", "o1")  # nodes that faults of the list may affect
+    prefix: tuple[str, ...] = ()  # steps taken at the start, not counted in the depth
     note: str = field(default="", compare=False)
 
     def with_bounds(self, **changes: Any) -> Scope:
-        """The scope with other bounds."""
+        """A copy of the scope with other bounds."""
         return replace(self, **changes)
 
 
@@ -152,7 +154,7 @@
     Scope(
         "links",
         ("image",),
-        kinds=ON_LINKS,
+        kinds=CONNECTION_FAULTS,
         faults=2,
         depth=8,
         attempts=3,
@@ -162,7 +164,7 @@
     Scope(
         "confirm",
         ("confirm",),
-        kinds=ON_LINKS,
+        kinds=CONNECTION_FAULTS,
         answers=("hit", "full", "error", "over"),
         faults=2,
         depth=9,
@@ -183,7 +185,7 @@
     Scope(
         "drain",
         ("image",),
-        kinds=ON_NODES + ("choke",),
+        kinds=NODE_FAULTS + ("choke",),
         faults=2,
         depth=6,
         targets=("c1", "p1"),
@@ -192,7 +194,7 @@
     Scope(
         "purge",
         ("image",),
-        kinds=ON_PURGES + ("choke", "never"),
+        kinds=PURGE_FAULTS + ("choke", "never"),
         answers=("hit", "joined", "old"),
         faults=2,
         depth=8,
@@ -201,7 +203,7 @@
     Scope(
         "log",
         ("image",),
-        kinds=ON_LOG + ("drain", "purge", "choke"),
+        kinds=CHANGE_LOG_FAULTS + ("drain", "purge", "choke"),
         faults=2,
         depth=7,
         targets=("c1",),
@@ -210,7 +212,7 @@
     Scope(
         "clients",
         ("image", "confirm"),
-        kinds=ON_CLIENTS,
+        kinds=CLIENT_FAULTS,
         faults=2,
         depth=7,
         fine=True,
--- a/stonecove/explore/trace.py
+++ b/stonecove/explore/trace.py
@@ -1,4 +1,4 @@
-"""A counterexample: found, shrunk, told in words, kept as JSON, played again."""
+"""A counterexample: its steps in words, its file, its replay, and how it is made shorter."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from stonecove.explore.model.router_model import RouterModel
 from stonecove.explore.properties import PROPERTIES
 from stonecove.explore.scope import ANSWERS, Scope
-from stonecove.explore.search import SETTLE, Start, Steps
+from stonecove.explore.results import SETTLE, MachineFactory, Steps
 
 FORMAT = 1
-_WORDS = {
+_DESCRIPTIONS = {
     "ask": "client: request {0} ({cls}) comes in",
     "abort": "client: aborts request {0}",
     "retry": "client: asks again for request {0}",
     "leave": "client: the connection is closed",
-    "stall": "client: takes in nothing",
+    "stall": "client: accepts no bytes",
     "unstall": "client: reads again",
     "up": "{0}: the connection is up",
     "refuse": "{0}: the connection is refused",
@@ -29,11 +29,11 @@
     "lack": "{0}: no descriptor for the connection",
     "reset": "{0}: resets the connection",
     "hangup": "{0}: closes the connection",
-    "choke0": "{0}: takes no byte more",
-    "choke20": "{0}: takes 20 bytes more",
-    "flush": "{0}: takes bytes again",
+    "choke0": "{0}: accepts no more bytes",
+    "choke20": "{0}: accepts 20 more bytes",
+    "flush": "{0}: accepts bytes again",
     "second": "{0}: answers request {1} a second time",
-    "stray": "{0}: an answer to an id that nobody asked",
+    "stray": "{0}: an answer with an unknown id",
     "spoil": "{0}: an answer to request {1} that can't be read",
     "half": "{0}: half an answer to request {1}, then a reset",
     "trickle": "{0}: half an answer to request {1}",
@@ -41,14 +41,14 @@
     "drain": "list: {0} is draining",
     "gone": "list: {0} is gone",
     "replace": "list: {0} is gone, a new node has its address",
-    "restart": "list: {0} has started anew",
+    "restart": "list: {0} has restarted",
     "back": "list: {0} is ready again",
     "join": "list: a new cache",
     "purge": "list: the object is purged",
     "purgeall": "list: the group is purged",
     "cut": "change log: the connection breaks",
-    "mend": "change log: connected again, tells what was missed",
-    "repeat": "change log: tells the last event again",
+    "mend": "change log: connected again, sends what was missed",
+    "repeat": "change log: sends the last event again",
     "gap": "change log: the next event comes under a number too high",
     "term": "router: SIGTERM",
     "reload": "router: a new configuration allows one connection",
@@ -63,12 +63,12 @@
     "notup": "router: gives up connecting {0}",
     "endsession": "router: ends the client connection",
     "expire": "router: ends all that is open",
-    SETTLE: "everybody falls silent, and time passes until all is quiet",
+    SETTLE: "all peers fall silent, and time passes until all is quiet",
 }
 
 
-class Told(NamedTuple):
-    """A step as it happened."""
+class TracedStep(NamedTuple):
+    """A step that was taken."""
 
     at: float  # ms since the start
     step: str
@@ -77,20 +77,20 @@
 
 @dataclass(frozen=True)
 class Trace:
-    """Steps that break a property, and all that is needed to take them again."""
+    """Steps that violate a property, and all that is needed to replay them."""
 
     scope: Scope
     steps: Steps
     prop: str
     why: str
-    seed: str = ""
+    mutation: str = ""  # the planted fault; empty for the real code
 
     def to_json(self) -> str:
-        """As text, the same for the same trace."""
+        """The text of the file, the same for the same trace."""
         table = {
             "format": FORMAT,
             "scope": asdict(self.scope),
-            "seed": self.seed,
+            "seed": self.mutation,
             "steps": list(self.steps),
             "property": self.prop,
             "why": self.why,
@@ -99,7 +99,7 @@
 
     @classmethod
     def from_json(cls, text: str) -> Trace:
-        """Reads it; raises ValueError with what is wrong."""
+        """Reads the text of a file; raises ValueError if it is no trace."""
         try:
             table: dict[str, Any] = json.loads(text)
             if table["format"] != FORMAT:
@@ -124,53 +124,53 @@
         """Reads a file; raises ValueError or OSError."""
         return cls.from_json(path.read_text())
 
-    def start(self) -> Start:
-        """What starts the world that it was found in, its seed planted."""
-        return world_start(self.scope, self.seed)
+    def factory(self) -> MachineFactory:
+        """The factory of the model in which it was found, with its mutation planted."""
+        return model_factory(self.scope, self.mutation)
 
-    def play(self) -> tuple[list[Told], list[Violation]]:
-        """Takes the steps again, as far as they can be; tells each, and what is broken in the end."""
-        machine = self.start()()
+    def replay(self) -> tuple[list[TracedStep], list[Violation]]:
+        """Takes the steps again, as far as they are enabled; returns them and the violations in the end."""
+        machine = self.factory()()
         assert isinstance(machine, RouterModel)
-        told = []
+        taken = []
         for step in self.steps:
             if step != SETTLE and step not in machine.enabled():
                 break
-            told.append(Told(round(machine.now - START * 1000.0, 3), step, in_words(machine, step)))
+            taken.append(TracedStep(round(machine.now - START * 1000.0, 3), step, describe(machine, step)))
             if step == SETTLE:
                 machine.settle()
             else:
                 machine.do(step)
             if machine.violations:
                 break
-        return told, machine.violations
+        return taken, machine.violations
 
-    def story(self) -> str:
-        """For a person on call."""
-        told, violations = self.play()
+    def report(self) -> str:
+        """The steps and violations as text for a person on call."""
+        taken, violations = self.replay()
         prop = PROPERTIES[self.prop]
         lines = [f"{self.prop}: {prop.text} ({prop.source})"]
-        if self.seed:
-            lines.append(f"with the seeded fault {self.seed}")
-        lines += [f"{one.at:9.1f} ms  {one.text}" for one in told]
+        if self.mutation:
+            lines.append(f"with the seeded fault {self.mutation}")
+        lines += [f"{one.at:9.1f} ms  {one.text}" for one in taken]
         lines += [f"           broken: {violation.prop}: {violation.why}" for violation in violations]
         if not violations:
             lines.append("           nothing is broken")
         return "\n".join(lines)
 
 
-def world_start(scope: Scope, seed: str = "") -> Start:
-    """Plants the seed in this process, and gives what starts a world of that scope."""
-    mutations.plant(seed)
+def model_factory(scope: Scope, mutation: str = "") -> MachineFactory:
+    """The factory of a model of the scope; plants the mutation in this process."""
+    mutations.plant(mutation)
 
-    def start() -> Machine:
+    def factory() -> Machine:
         return RouterModel(scope)
 
-    return start
+    return factory
 
 
-def in_words(model: RouterModel, step: str) -> str:
-    """A step as a sentence."""
+def describe(model: RouterModel, step: str) -> str:
+    """A step in words."""
     word, _, rest = step.partition(" ")
     args = rest.split()
     if word in ANSWERS:
@@ -179,37 +179,32 @@
     place = int(args[0]) if args and args[0].isdigit() else -1
     requests = model.state.clients.requests
     cls = requests[place].cls if 0 <= place < len(requests) else ""
-    return _WORDS.get(word, word).format(*args, cls=cls)
+    return _DESCRIPTIONS.get(word, word).format(*args, cls=cls)
 
 
-def shrink(start: Start, steps: Steps, prop: str) -> Steps:
-    """The fewest steps found that break the same property: by halves, then one by one (Zeller and
-    Hildebrandt,
+def shrink(factory: MachineFactory, steps: Steps, prop: str) -> Steps:
+    """The fewest steps found that violate the same property: parts are left out by halves, then one by one.
 
-    "Simplifying and isolating failure-inducing input", 2002). Steps that can't be taken are passed over.
+    After Zeller and Hildebrandt, "Simplifying and isolating failure-inducing input", 2002. Steps that are not
+    enabled are skipped.
     """
-
-    def broken(some: Steps) -> Steps | None:
-        taken = play_along(start, some, prop)
-        return taken
-
-    best = broken(steps) or steps
+    best = enabled_steps_to(factory, steps, prop) or steps
     size = max(1, len(best) // 2)
     while size:
-        at = 0
-        while at < len(best):
-            shorter = broken(best[:at] + best[at + size :])
+        start = 0
+        while start < len(best):
+            shorter = enabled_steps_to(factory, best[:start] + best[start + size :], prop)
             if shorter is not None and len(shorter) < len(best):
                 best = shorter
             else:
-                at += size
+                start += size
         size //= 2
     return best
 
 
-def play_along(start: Start, steps: Steps, prop: str) -> Steps | None:
-    """Takes those of the steps that can be taken; the ones that led to a break of the property, or None."""
-    machine = start()
+def enabled_steps_to(factory: MachineFactory, steps: Steps, prop: str) -> Steps | None:
+    """Takes those of the steps that are enabled; the ones up to a violation of the property, or None."""
+    machine = factory()
     taken: list[str] = []
     for step in steps:
         if step != SETTLE and step not in machine.enabled():
--- a/stonecove/explore/visited.py
+++ b/stonecove/explore/visited.py
@@ -1,8 +1,8 @@
-"""The set of states that were reached, by their fingerprints.
+"""The set of visited states, by their fingerprints.
 
-`FingerprintSet` keeps 64-bit fingerprints in sorted runs, each at least twice as long as the next, and takes
-them in by batches: 8 bytes a state, where a `set` of whole numbers takes ten times as much. `PlainSet` is the
-one that it is measured against.
+`FingerprintSet` stores 64-bit fingerprints in sorted runs, each at least twice as long as the next, and adds
+them by batches: 8 bytes a state, where a `set` of integers takes ten times as much. `PlainSet` is the
+baseline that it is measured against.
 """
 
 from __future__ import annotations
@@ -12,30 +12,30 @@
 import numpy as np
 import numpy.typing as npt
 
-Prints = npt.NDArray[np.uint64]
+Fingerprints = npt.NDArray[np.uint64]
 
 
 class Visited(Protocol):
-    """A set of fingerprints that is asked by batches."""
+    """A set of fingerprints that is queried by batches."""
 
-    def add(self, prints: Prints) -> npt.NDArray[np.bool_]:
-        """Adds them; tells of each whether it is there for the first time, also within the batch."""
+    def add(self, prints: Fingerprints) -> npt.NDArray[np.bool_]:
+        """Adds a batch; marks each fingerprint that was not there before, also not within the batch."""
 
     def __len__(self) -> int:
         """How many there are."""
 
     def nbytes(self) -> int:
-        """Bytes that they take."""
+        """The memory of the set in bytes."""
 
 
 class FingerprintSet:
-    """Sorted runs; adding n to m states costs about n log m comparisons, and a merge now and then."""
+    """Sorted runs; adding n to m states costs about n log m comparisons, and a merge from time to time."""
 
     def __init__(self) -> None:
-        self._runs: list[Prints] = []
+        self._runs: list[Fingerprints] = []
 
-    def add(self, prints: Prints) -> npt.NDArray[np.bool_]:
-        """Adds a batch; tells of each whether it is new."""
+    def add(self, prints: Fingerprints) -> npt.NDArray[np.bool_]:
+        """Adds a batch; marks the new fingerprints."""
         unique, first = np.unique(prints, return_index=True)
         fresh = np.ones(len(unique), dtype=np.bool_)
         for run in self._runs:
@@ -57,29 +57,29 @@
         return sum(map(len, self._runs))
 
     def nbytes(self) -> int:
-        """Bytes of all runs."""
+        """The memory of all runs in bytes."""
         return sum(run.nbytes for run in self._runs)
 
-    def runs(self) -> list[Prints]:
-        """What it is made of, to be saved."""
+    def runs(self) -> list[Fingerprints]:
+        """The sorted runs, to be saved."""
         return self._runs
 
     @classmethod
-    def of(cls, runs: list[Prints]) -> FingerprintSet:
-        """The set that was made of these."""
-        made = cls()
-        made._runs = list(runs)
-        return made
+    def of(cls, runs: list[Fingerprints]) -> FingerprintSet:
+        """The set with these sorted runs."""
+        visited = cls()
+        visited._runs = list(runs)
+        return visited
 
 
 class PlainSet:
-    """A `set` of whole numbers."""
+    """A `set` of integers."""
 
     def __init__(self) -> None:
         self._set: set[int] = set()
 
-    def add(self, prints: Prints) -> npt.NDArray[np.bool_]:
-        """Adds them one by one."""
+    def add(self, prints: Fingerprints) -> npt.NDArray[np.bool_]:
+        """Adds a batch one by one; marks the new fingerprints."""
         found = np.zeros(len(prints), dtype=np.bool_)
         known = self._set
         for place, value in enumerate(prints.tolist()):
@@ -92,5 +92,5 @@
         return len(self._set)
 
     def nbytes(self) -> int:
-        """Bytes of the table and of its numbers."""
+        """The memory of the table and of its integers in bytes."""
         return self._set.__sizeof__() + sum(value.__sizeof__() for value in self._set)
--- a/stonecove/explore/walk.py
+++ b/stonecove/explore/walk.py
@@ -1,12 +1,12 @@
-"""Seeded random walks, beyond the bounds of what can be explored whole."""
+"""Seeded random walks, beyond the bounds of what can be explored exhaustively."""
 
 from __future__ import annotations
 
 import random
 from dataclasses import dataclass, field
 
-from stonecove.explore.scope import ALL_FAULTS, FREE, Scope
-from stonecove.explore.search import SETTLE, Found, Start
+from stonecove.explore.scope import ALL_FAULTS, NORMAL_ANSWERS
+from stonecove.explore.results import SETTLE, Found, MachineFactory
 
 # How likely a step is to be taken, by its first word; faults are rare, so that much happens between them.
 WEIGHTS = {
@@ -25,48 +25,57 @@
     "end": 8.0,
     "notup": 8.0,
 }
-FAULT = 0.12
-ANSWER = 0.8
+FAULT_WEIGHT = 0.12
+ANSWER_WEIGHT = 0.8  # of answers that are faults
+NORMAL_WEIGHT = 1.0
 
 
 @dataclass
 class Walks:
-    """What walks have come to."""
+    """The counts and violations of several walks."""
 
     walks: int = 0
     steps: int = 0
-    words: dict[str, int] = field(
-        default_factory=dict
-    )  # by the first word of the step: how often it was taken
+    words: dict[str, int] = field(default_factory=dict)  # by the first word of a step: how often it was taken
     found: list[Found] = field(default_factory=list)
 
+    def add(self, other: Walks) -> None:
+        """Adds other walks."""
+        self.walks += other.walks
+        self.steps += other.steps
+        self.found += other.found
+        for word, times in other.words.items():
+            self.words[word] = self.words.get(word, 0) + times
+
 
 def weight(step: str) -> float:
-    """How likely a step is against the others."""
+    """How likely a step is, relative to the others."""
     word = step.partition(" ")[0]
     if word in WEIGHTS:
         return WEIGHTS[word]
-    return FAULT if word.rstrip("0123456789") in ALL_FAULTS else ANSWER if word not in FREE else 1.0
+    if word.rstrip("0123456789") in ALL_FAULTS:
+        return FAULT_WEIGHT
+    return NORMAL_WEIGHT if word in NORMAL_ANSWERS else ANSWER_WEIGHT
 
 
-def walk(start: Start, scope: Scope, seed: int, most: int, done: Walks) -> None:
-    """One walk of at most so many steps, then all is let settle."""
+def walk(factory: MachineFactory, seed: int, most_steps: int, walks: Walks) -> None:
+    """Adds one walk of at most so many steps, after which the machine settles."""
     chooser = random.Random(seed)
-    machine = start()
+    machine = factory()
     taken: list[str] = []
-    done.walks += 1
-    while len(taken) < most and not machine.violations:
-        names = machine.enabled()
-        if not names:
+    walks.walks += 1
+    while len(taken) < most_steps and not machine.violations:
+        enabled = machine.enabled()
+        if not enabled:
             break
-        step = chooser.choices(names, list(map(weight, names)))[0]
+        step = chooser.choices(enabled, list(map(weight, enabled)))[0]
         taken.append(step)
         machine.do(step)
         word = step.partition(" ")[0]
-        done.words[word] = done.words.get(word, 0) + 1
+        walks.words[word] = walks.words.get(word, 0) + 1
     if not machine.violations:
         taken.append(SETTLE)
         machine.settle()
-    done.steps += len(taken)
+    walks.steps += len(taken)
     if machine.violations:
-        done.found.append(Found(tuple(taken), machine.violations[0]))
+        walks.found.append(Found(tuple(taken), machine.violations[0]))
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -3,7 +3,9 @@
 from __future__ import annotations
 
 import ast
+import hashlib
 import os
+import pickle
 import re
 import signal
 import subprocess
@@ -13,13 +15,17 @@
 
 import pytest
 from stonecove.explore import mutation_run, mutations, scope, search
-from stonecove.explore.copying import DeepCopy, Pickle, Replay, Way, run
+from stonecove.explore.copying import DeepCopy, Pickle, Replay, StateCopier, run
 from stonecove.explore.fingerprint import all_parts, check_fields
+from stonecove.explore.frontier import Frontier, SavedFrontierError
+from stonecove.explore.machine import Violation
 from stonecove.explore.model.router_model import RouterModel
 from stonecove.explore.properties import PROPERTIES
 from stonecove.explore.reach import HARD_CASES, HARD_STEPS
-from stonecove.explore.search import Crew, Options, Result
-from stonecove.explore.trace import Trace, shrink, world_start
+from stonecove.explore.expander import Entry, WorkerPool
+from stonecove.explore.results import Found, Result
+from stonecove.explore.search import Options
+from stonecove.explore.trace import Trace, shrink, model_factory
 from stonecove.explore.visited import FingerprintSet, PlainSet
 
 ROOT = Path(__file__).parent.parent
@@ -60,8 +66,8 @@
 
 
 def explored(one: scope.Scope, processes: int = 4, seed: str = "", **options: object) -> Result:
-    with Crew(processes) as crew:
-        result = mutation_run.explore(one, crew, Options(**options), seed)  # type: ignore[arg-type]
+    with WorkerPool(processes) as workers:
+        result = mutation_run.explore(one, workers, Options(**options), seed)  # type: ignore[arg-type]
     mutations.plant("")
     return result
 
@@ -115,7 +121,7 @@
 
 def test_the_fingerprint_knows_every_field() -> None:
     one = scope.named(scope.SMALL, "links")
-    model = run(world_start(one), ("ask 0", "decide", "up c1.0", "wait", "fire"))
+    model = run(model_factory(one), ("ask 0", "decide", "up c1.0", "wait", "fire"))
     assert isinstance(model, RouterModel)
     assert check_fields(all_parts(model.state)) == []
     vars(model.state.harness.route)["_new"] = 1
@@ -123,24 +129,24 @@
 
 
 def test_states_are_told_apart_by_what_matters_alone() -> None:
-    start = world_start(small("clients"))
+    start = model_factory(small("clients"))
     one = run(start, ("ask 0", "ask 1", "decide", "up c1.0", "up c1.1")).encode()
     assert run(start, ("ask 0", "ask 1", "decide", "up c1.1", "up c1.0")).encode() == one
     assert run(start, ("ask 0", "ask 1", "decide", "up c1.0")).encode() != one
     assert run(start, ("ask 0", "ask 1", "decide", "up c1.0", "up c1.1", "wait")).encode() != one
 
 
-@pytest.mark.parametrize("way", [Replay(world_start(small("links"))), DeepCopy(), Pickle()])
-def test_each_way_back_leads_to_the_same_state(way: Way) -> None:
-    start, steps = world_start(small("links")), ("ask 0", "decide", "up c1.0", "wait", "fire", "up c1.1")
+@pytest.mark.parametrize("way", [Replay(model_factory(small("links"))), DeepCopy(), Pickle()])
+def test_each_way_back_leads_to_the_same_state(way: StateCopier) -> None:
+    start, steps = model_factory(small("links")), ("ask 0", "decide", "up c1.0", "wait", "fire", "up c1.1")
     world = run(start, steps)
-    way.keep(world, steps)
+    way.capture(world, steps)
     for further in (("hit c1.0 0",), ("reset c1.1", "end c1.1")):
-        there = way.back()
+        there = way.restore()
         for step in further:
             there.do(step)
         assert there.encode() == run(start, (*steps, *further)).encode()
-    assert way.back().encode() == world.encode()
+    assert way.restore().encode() == world.encode()
 
 
 def test_the_set_of_states_agrees_with_a_plain_one() -> None:
@@ -175,7 +181,7 @@
     one = small("confirm", depth=6)
     alone, many = explored(one, processes=1), explored(one, processes=4)
     assert (alone.states, alone.transitions, told(alone)) == (many.states, many.transitions, told(many))
-    deep = search.depth_first(world_start(one), one.depth)
+    deep = search.depth_first(model_factory(one), one.depth)
     assert deep.states == alone.states and not deep.found
 
 
@@ -212,6 +218,31 @@
     assert torn.returncode == 2 and "is torn" in torn.stderr
 
 
+def test_a_frontier_is_read_wherever_its_classes_were_when_it_was_saved(tmp_path: Path) -> None:
+    entry, result = Entry(("ask 0",), ("decide",), frozenset({"wait"})), Result(states=2)
+    violation = Found(("ask 0",), Violation("one-answer", "two"))
+    result.found.append(violation)
+    body = pickle.dumps(("key", [], {7: frozenset({"wait"})}, [entry], result), protocol=2)
+    for cls in (Entry, Result, Violation):
+        assert cls.__module__.encode() in body
+        body = body.replace(cls.__module__.encode(), b"an.older.place")
+    path = tmp_path / "front"
+    path.write_bytes(hashlib.blake2b(body, digest_size=16).digest() + body)
+    read = Frontier.load(path, "key")
+    assert (read.entries, read.sleeping, read.result) == ([entry], {7: frozenset({"wait"})}, result)
+    with pytest.raises(SavedFrontierError, match="of another exploration: key, not other"):
+        Frontier.load(path, "other")
+
+
+@pytest.mark.parametrize("state", [("key", [], {}, [Path("x")], None), ("key", []), 3])
+def test_a_frontier_of_another_form_is_refused(tmp_path: Path, state: object) -> None:
+    body = pickle.dumps(state)
+    path = tmp_path / "front"
+    path.write_bytes(hashlib.blake2b(body, digest_size=16).digest() + body)
+    with pytest.raises(SavedFrontierError, match="of another version: [^\n]+$"):
+        Frontier.load(path, "key")
+
+
 # -- what must hold --
 
 
@@ -226,7 +257,7 @@
 
 
 def test_every_seeded_fault_is_found_and_every_property_broken_by_one() -> None:
-    found = mutation_run.catch_all(
+    found = mutation_run.search_mutations(
         [mutation.name for mutation in mutations.MUTATIONS], min(8, os.cpu_count() or 1)
     )
     wrong = [
@@ -242,7 +273,7 @@
 @pytest.mark.parametrize("case", HARD_CASES)
 def test_hard_cases_are_in_their_scope(case: str) -> None:
     one = scope.named(scope.SMALL, HARD_CASES[case])
-    world = world_start(one)()
+    world = model_factory(one)()
     for step in HARD_STEPS[case]:
         assert step in world.enabled()
         world.do(step)
@@ -252,7 +283,7 @@
 
 
 def test_walks_hold_and_are_the_same_each_time() -> None:
-    one, other = mutation_run.wander(5, 2, 900), mutation_run.wander(5, 2, 900)
+    one, other = mutation_run.random_walks(5, 2, 900), mutation_run.random_walks(5, 2, 900)
     assert not one.found and one.steps > 1000
     assert one.words == other.words
 
@@ -263,19 +294,19 @@
 @pytest.mark.parametrize("path", TRACES, ids=lambda path: path.stem)
 def test_what_was_found_once_stays_mended(path: Path) -> None:
     trace = Trace.read(path)
-    assert trace.seed, "a kept trace names the fault that its mend took out"
+    assert trace.mutation, "a kept trace names the fault that its mend took out"
     try:
-        _, broken = trace.play()
+        _, broken = trace.replay()
         assert trace.prop in {violation.prop for violation in broken}
         mended = Trace(trace.scope, trace.steps, trace.prop, trace.why)
-        assert mended.play()[1] == []
-        assert "nothing is broken" in mended.story()
+        assert mended.replay()[1] == []
+        assert "nothing is broken" in mended.report()
     finally:
         mutations.plant("")
 
 
 def test_a_trace_is_shrunk_kept_and_told(tmp_path: Path) -> None:
-    start = world_start(small("confirm"), "reset-told-as-never-run")
+    start = model_factory(small("confirm"), "reset-told-as-never-run")
     try:
         long = (
             "ask 0",
@@ -291,7 +322,7 @@
         trace = Trace(small("confirm"), steps, "run-is-run", "", "reset-told-as-never-run")
         assert len(steps) < len(long)
         assert Trace.from_json(trace.to_json()) == trace
-        assert "resets the connection" in trace.story() and "broken: run-is-run" in trace.story()
+        assert "resets the connection" in trace.report() and "broken: run-is-run" in trace.report()
         path = tmp_path / "trace.json"
         path.write_text(trace.to_json())
     finally:
