--- a/benchmarks/explore.py
+++ b/benchmarks/explore.py
@@ -12,14 +12,14 @@
 
 import numpy as np
 
-from stonecove.explore import mutation_run, mutations, search
-from stonecove.explore.copying import DeepCopy, Pickle, Replay, StateCopier, run
-from stonecove.explore.scope import SMALL, named
-from stonecove.explore.expander import WorkerPool
-from stonecove.explore.results import Result
-from stonecove.explore.search import Options
-from stonecove.explore.trace import model_factory
-from stonecove.explore.visited import FingerprintSet, PlainSet, Visited
+from edge_router.model_checker import mutation_run, mutations, search
+from edge_router.model_checker.copying import DeepCopy, Pickle, Replay, StateCopier, run
+from edge_router.model_checker.expander import WorkerPool
+from edge_router.model_checker.results import Result
+from edge_router.model_checker.scope import SMALL, named
+from edge_router.model_checker.search import Options
+from edge_router.model_checker.trace import model_factory
+from edge_router.model_checker.visited import FingerprintSet, PlainSet, Visited
 
 DEPTHS = {"links": (6, 8), "clients": (6, 7), "drain": (5, 7), "confirm": (7, 9)}
 
--- a/benchmarks/run_cost.py
+++ b/benchmarks/run_cost.py
@@ -14,8 +14,8 @@
 from pathlib import Path
 from statistics import median
 
-from stonecove.commands.demo import Asker, free_port, settings, wait_ready
-from stonecove.standins.depot import Depot
+from edge_router.cli.demo import Asker, free_port, settings, wait_ready
+from edge_router.fault_injection.depot import Depot
 
 HERE = Path(__file__).parent.parent
 TICKS = os.sysconf("SC_CLK_TCK")
@@ -48,7 +48,7 @@
         path.write_text(json.dumps(config))
         environ = {**os.environ, "RELAY_CONFIG": str(path), "PYTHONPATH": str(checkout)}
         router = subprocess.Popen(
-            [sys.executable, "-m", "stonecove"], cwd=checkout, env=environ, stderr=subprocess.DEVNULL
+            [sys.executable, "-m", "edge_router"], cwd=checkout, env=environ, stderr=subprocess.DEVNULL
         )
         try:
             wait_ready(port, router)
--- /dev/null
+++ b/edge_router/cli/__init__.py
@@ -0,0 +1,1 @@
+"""The command line: each command imports what it needs when it is called."""
--- a/stonecove/commands/demo.py
+++ b/edge_router/cli/demo.py
@@ -1,4 +1,4 @@
-"""`stonecove demo`: the router in a made-up depot, told as it happens."""
+"""`edge_router demo`: the router in a made-up depot, told as it happens."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from collections import Counter
 from pathlib import Path
 
-from stonecove.standins.depot import Depot
-from stonecove.wire import fastcgi
+from edge_router.fault_injection.depot import Depot
+from edge_router.protocol import fastcgi
 
 PATIENCE = 20.0
 CLASSES = (("item-image", "pure", 3000.0), ("pick-confirm", "side_effect", 3000.0))
@@ -168,7 +168,7 @@
         log_path = Path(folder, "router.log")
         with open(log_path, "wb") as log:
             router = subprocess.Popen(
-                [sys.executable, "-m", "stonecove"],
+                [sys.executable, "-m", "edge_router"],
                 stderr=log,
                 env={**os.environ, "RELAY_CONFIG": str(path)},
             )
--- a/stonecove/commands/explore.py
+++ b/edge_router/cli/explore.py
@@ -1,4 +1,4 @@
-"""`stonecove explore`: every order of events within stated bounds, on the router's own code."""
+"""`edge_router explore`: every order of events within stated bounds, on the router's own code."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 import click
 
 if TYPE_CHECKING:
-    from stonecove.explore.results import Result
-    from stonecove.explore.trace import Trace
+    from edge_router.model_checker.results import Result
+    from edge_router.model_checker.trace import Trace
 
 HELD, VIOLATED, UNUSABLE = 0, 1, 2
 MOST_SHOWN = 6
@@ -28,7 +28,7 @@
 
 
 def _unusable(why: str) -> None:
-    click.echo(f"stonecove explore: {why}", err=True)
+    click.echo(f"edge_router explore: {why}", err=True)
     sys.exit(UNUSABLE)
 
 
@@ -42,8 +42,8 @@
 
 def _show(scope_name: str, result: Result, scopes: tuple[Any, ...], folder: Path | None) -> None:
     """Prints the first violation of each property, and saves its trace."""
-    from stonecove.explore.scope import named
-    from stonecove.explore.trace import Trace, shrink, model_factory
+    from edge_router.model_checker.scope import named
+    from edge_router.model_checker.trace import Trace, model_factory, shrink
 
     shown: set[str] = set()
     for found in result.found:
@@ -92,10 +92,10 @@
     depth: int | None,
 ) -> None:
     """Explore a scope exhaustively."""
-    from stonecove.explore.mutation_run import explore_all
-    from stonecove.explore.scope import SCOPES, named
-    from stonecove.explore.expander import WorkerPool
-    from stonecove.explore.frontier import SavedFrontierError
+    from edge_router.model_checker.expander import WorkerPool
+    from edge_router.model_checker.frontier import SavedFrontierError
+    from edge_router.model_checker.mutation_run import explore_all
+    from edge_router.model_checker.scope import SCOPES, named
 
     try:
         scopes = (
@@ -135,8 +135,8 @@
 @click.option("--processes", default=0, type=click.IntRange(0, 64), help="0: all cores, at most 8.")
 def seeded_command(only: tuple[str, ...], processes: int) -> None:
     """Plant mutations one after the other, and show which property finds each."""
-    from stonecove.explore.mutation_run import search_mutations
-    from stonecove.explore.mutations import MUTATIONS
+    from edge_router.model_checker.mutation_run import search_mutations
+    from edge_router.model_checker.mutations import MUTATIONS
 
     names = [mutation.name for mutation in MUTATIONS]
     if unknown := [name for name in only if name not in names]:
@@ -183,9 +183,9 @@
 @click.option("--traces", type=click.Path(path_type=Path, file_okay=False), help="Save counterexamples here.")
 def walk_command(walks: int, steps: int, seed: int, processes: int, traces: Path | None) -> None:
     """Walk at random beyond the bounds, from fixed seeds."""
-    from stonecove.explore.mutation_run import random_walks_in_parallel
-    from stonecove.explore.scope import WALK
-    from stonecove.explore.results import Result
+    from edge_router.model_checker.mutation_run import random_walks_in_parallel
+    from edge_router.model_checker.results import Result
+    from edge_router.model_checker.scope import WALK
 
     began = time.monotonic()
     done = random_walks_in_parallel(seed, walks, steps, _processes(processes))
@@ -198,7 +198,7 @@
 
 
 def _read(path: Path) -> Trace:
-    from stonecove.explore.trace import Trace
+    from edge_router.model_checker.trace import Trace
 
     try:
         return Trace.read(path)
@@ -216,7 +216,7 @@
     _, violations = trace.replay()
     click.echo(trace.report())
     if chart is not None:
-        from stonecove.explore.chart import draw
+        from edge_router.model_checker.chart import draw
 
         if chart.suffix not in (".svg", ".png"):
             _unusable(f"{chart}: a chart is .svg or .png")
@@ -236,7 +236,7 @@
 )
 def report_command(lines: bool, depth: int) -> None:
     """Print the properties, the hard cases, and which lines and branches of the core were executed."""
-    from stonecove.explore.reach import report
+    from edge_router.model_checker.reach import report
 
     for line in report(depth, lines):
         click.echo(line)
--- a/stonecove/commands/main.py
+++ b/edge_router/cli/main.py
@@ -1,4 +1,4 @@
-"""`stonecove`: the router itself, the explorer, the fault soak and the demonstration."""
+"""`edge_router`: the router itself, the explorer, the fault soak and the demonstration."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 import click
 
-from stonecove.commands.explore import explore
-from stonecove.commands.soak import soak
+from edge_router.cli.explore import explore
+from edge_router.cli.soak import soak
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -18,7 +18,7 @@
 @cli.command()
 def run() -> None:
     """Start one edge router, configured by the file that RELAY_CONFIG names."""
-    from stonecove.lifecycle.serve import main as serve
+    from edge_router.server.server import main as serve
 
     sys.exit(serve())
 
@@ -33,7 +33,7 @@
 )
 def demo(requests: int) -> None:
     """Run the router in a made-up depot: a drain, a purge and a cache that dies, told as it happens."""
-    from stonecove.commands.demo import play
+    from edge_router.cli.demo import play
 
     sys.exit(play(requests))
 
--- a/stonecove/commands/soak.py
+++ b/edge_router/cli/soak.py
@@ -1,4 +1,4 @@
-"""`stonecove soak`: plays randomized faults around real router processes and judges what was seen."""
+"""`edge-router soak`: plays randomized faults around real router processes and judges what was seen."""
 
 from __future__ import annotations
 
@@ -42,9 +42,9 @@
 
     Exits with 1 if any rule was broken, with 3 if a run was too late to prove anything.
     """
-    from stonecove.soak.harness import play
-    from stonecove.soak.oracle import judge
-    from stonecove.soak.scenario import draw
+    from edge_router.fault_injection.harness import play
+    from edge_router.fault_injection.oracle import judge
+    from edge_router.fault_injection.scenario import draw
 
     broken = late = False
     for number in range(seed, seed + runs):
--- /dev/null
+++ b/edge_router/config/__init__.py
@@ -0,0 +1,1 @@
+"""The platform's configuration file, the settings it holds, and reloading it."""
--- a/stonecove/lifecycle/config.py
+++ b/edge_router/config/platform_file.py
@@ -10,11 +10,10 @@
 
 import ujson
 
-from stonecove.interface import Settings
-from stonecove.membership import Told
-from stonecove.settings import settings_from
-from stonecove.wire.changelog import ChangeLogError, known_events
-
+from edge_router.config.settings_reader import settings_from
+from edge_router.decision.settings import Settings
+from edge_router.discovery.change_log import ChangeLogError, known_events
+from edge_router.discovery.events import Told
 
 LEAST_SOCKETS = 16
 
--- a/stonecove/lifecycle/reload.py
+++ b/edge_router/config/reload.py
@@ -6,8 +6,8 @@
 
 import trio
 
-from stonecove.ground.log import log
-from stonecove.lifecycle.config import Config, ConfigError, ConfigUnreadableError, read_config
+from edge_router.config.platform_file import Config, ConfigError, ConfigUnreadableError, read_config
+from edge_router.runtime.event_log import log
 
 FIRST_PAUSE, LONGEST_PAUSE = 0.05, 1.0  # seconds between two tries; each pause is twice the one before
 PATIENCE = 30.0  # seconds for which a file that stays unreadable is tried
--- a/stonecove/settings.py
+++ b/edge_router/config/settings_reader.py
@@ -6,7 +6,7 @@
 
 import ujson
 
-from stonecove import interface as i
+from edge_router.decision import settings as i
 
 _EFFECTS = {"pure": i.Effect.SAFE, "token": i.Effect.KEYED, "side_effect": i.Effect.UNSAFE}
 _GROUPS = {"all": i.KeyGroup.ALL, "zone": i.KeyGroup.ZONE, "cell": i.KeyGroup.CELL}
--- a/stonecove/choice.py
+++ b/edge_router/decision/policy.py
@@ -1,4 +1,4 @@
-"""All decisions of stonecove; its types, events and actions are in stonecove/interface.py.
+"""All decisions of edge_router; its types, events and actions are in edge_router/decision/messages.py.
 
 A Director sees only its own traffic. The ordinary path is the design's: aged counts admit the top
 set, density ranks it, a shared weighted rendezvous hash names the home cache and, over all parents,
@@ -15,11 +15,10 @@
 from functools import lru_cache, partial
 from typing import Any
 
-from stonecove import rules
-from stonecove.interface import (
+from edge_router.decision import rules
+from edge_router.decision.messages import (
     Action,
     Cancel,
-    ClassSettings,
     Due,
     Ended,
     Event,
@@ -38,10 +37,10 @@
     Purged,
     Refuse,
     Request,
-    Settings,
     Timer,
     Watch,
 )
+from edge_router.decision.settings import ClassSettings, Settings
 
 # The design's open values.
 TOP_SHARE = 0.9  # P_th: the top set is the most popular objects whose summed share first reaches it
--- a/stonecove/rules.py
+++ b/edge_router/decision/rules.py
@@ -12,7 +12,8 @@
 from collections.abc import Mapping
 from enum import StrEnum
 
-from stonecove.interface import ClassSettings, Effect, KeyGroup, Node, NodeId, Outcome
+from edge_router.decision.messages import Node, NodeId, Outcome
+from edge_router.decision.settings import ClassSettings, Effect, KeyGroup
 
 PROVES_NOT_RUN = frozenset((Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT, Outcome.MISS))
 
--- /dev/null
+++ b/edge_router/discovery/__init__.py
@@ -0,0 +1,1 @@
+"""What is known of endpoints and purges, and the change log that tells it."""
--- a/stonecove/wire/changelog.py
+++ b/edge_router/discovery/change_log.py
@@ -7,9 +7,10 @@
 from ipaddress import IPv4Address
 from typing import Any, NamedTuple
 
-from stonecove.interface import Node, NodeState, Settings
-from stonecove.membership import Member, MembershipSink, MembersTold, PurgeTold, Told
-from stonecove.wire.buffer import Buffer
+from edge_router.decision.messages import Node, NodeState
+from edge_router.decision.settings import Settings
+from edge_router.discovery.events import Member, MembershipSink, MembersTold, PurgeTold, Told
+from edge_router.protocol.buffer import Buffer
 
 MOST_FRAME = 1 << 20  # bytes of the longest frame: a list of many thousand nodes
 
--- a/stonecove/wire/follow.py
+++ b/edge_router/discovery/change_log_watcher.py
@@ -6,10 +6,10 @@
 
 import trio
 
-from stonecove.ground.log import log
-from stonecove.membership import MembershipSink
-from stonecove.wire.buffer import Buffer, BufferFullError
-from stonecove.wire.changelog import MOST_FRAME, ChangeLogError, Follower, frames
+from edge_router.discovery.change_log import MOST_FRAME, ChangeLogError, Follower, frames
+from edge_router.discovery.events import MembershipSink
+from edge_router.protocol.buffer import Buffer, BufferFullError
+from edge_router.runtime.event_log import log
 
 # What the log tells counts as told 2 s after a break and 4 s after it stops: all waits must fit into that.
 QUIET = 2.5  # a frame comes each second; after so many seconds without progress the connection is given up
--- a/stonecove/memory/nodes.py
+++ b/edge_router/discovery/endpoint_table.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from stonecove.interface import NodeId, NodeState
-from stonecove.membership import Member, MembersTold
+from edge_router.decision.messages import NodeId, NodeState
+from edge_router.discovery.events import Member, MembersTold
 
 
 class NodeTable:
--- a/stonecove/membership.py
+++ b/edge_router/discovery/events.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple, Protocol
 
-from stonecove.interface import Node
+from edge_router.decision.messages import Node
 
 
 class Member(NamedTuple):
--- a/stonecove/soak/cache_process.py
+++ b/edge_router/fault_injection/cache_process.py
@@ -1,4 +1,4 @@
-"""A cache stand-in as a process of its own: `python -m stonecove.soak.cache_process IDENT PORT SEED`.
+"""A simulated cache as a process of its own, started with IDENT PORT SEED.
 
 It fills from any source that a fetch names, keeps what it filled, and obeys `limit`, `oldest`, `seen` and
 `abort`. What it saw goes to standard output, a line of JSON each; orders come in on standard input.
@@ -16,9 +16,16 @@
 
 import trio
 
-from stonecove.soak.observations import Answered, Fetched
-from stonecove.soak.protocol import ProtocolError, Reader, fields_from, fields_to, resp_array, resp_arrays
-from stonecove.soak.scenario import Trouble
+from edge_router.fault_injection.observations import Answered, Fetched
+from edge_router.fault_injection.protocol import (
+    ProtocolError,
+    Reader,
+    fields_from,
+    fields_to,
+    resp_array,
+    resp_arrays,
+)
+from edge_router.fault_injection.scenario import Trouble
 
 IDLE_SECONDS = 4.0  # a connection at rest for so long is closed
 FRESH_SECONDS = {"page": 10.0}
--- a/stonecove/soak/clients.py
+++ b/edge_router/fault_injection/clients.py
@@ -10,8 +10,8 @@
 
 import trio
 
-from stonecove.soak.observations import Asked, Observations
-from stonecove.soak.protocol import (
+from edge_router.fault_injection.observations import Asked, Observations
+from edge_router.fault_injection.protocol import (
     ABORT,
     BEGIN,
     END,
--- a/stonecove/standins/depot.py
+++ b/edge_router/fault_injection/depot.py
@@ -10,8 +10,8 @@
 from collections import Counter
 from collections.abc import Callable, Iterator
 
-from stonecove.wire import resp
-from stonecove.wire.buffer import Buffer
+from edge_router.protocol import resp
+from edge_router.protocol.buffer import Buffer
 
 _HEAD = struct.Struct(">IQB")
 _RECORD = struct.Struct(">IIHBBBHIQ")
--- a/stonecove/soak/discovery.py
+++ b/edge_router/fault_injection/discovery.py
@@ -7,8 +7,8 @@
 
 import trio
 
-from stonecove.soak.observations import Observations, Told
-from stonecove.soak.protocol import NodeRecord, frame
+from edge_router.fault_injection.observations import Observations, Told
+from edge_router.fault_injection.protocol import NodeRecord, frame
 
 NOTHING, WHOLE, CHANGES, OBJECT, GROUP = range(5)
 SLOW_PIECE = 32
--- a/stonecove/soak/fleet.py
+++ b/edge_router/fault_injection/fleet.py
@@ -16,12 +16,12 @@
 
 import trio
 
-from stonecove.soak.clients import Clients
-from stonecove.soak.discovery import ChangeLog
-from stonecove.soak.observations import Observations, RouterLife, observation_from
-from stonecove.soak.plan import PLAN_VARIABLE, FaultPlan
-from stonecove.soak.protocol import NodeRecord, Reader, records, request_records
-from stonecove.soak.scenario import CACHE_ID, KINDS, ORIGIN_ID, PARENT_ID, ZONES, Scenario
+from edge_router.fault_injection.clients import Clients
+from edge_router.fault_injection.discovery import ChangeLog
+from edge_router.fault_injection.observations import Observations, RouterLife, observation_from
+from edge_router.fault_injection.plan import PLAN_VARIABLE, FaultPlan
+from edge_router.fault_injection.protocol import NodeRecord, Reader, records, request_records
+from edge_router.fault_injection.scenario import CACHE_ID, KINDS, ORIGIN_ID, PARENT_ID, ZONES, Scenario
 
 PORTS = 10_000, 30_000
 BOOT = 4.0  # seconds for all processes to start
@@ -129,7 +129,7 @@
         """Starts the cache's process and waits until it listens; raises trio.TooSlowError."""
         cache.ready = trio.Event()
         cache.process = await self._spawn(
-            "stonecove.soak.cache_process",
+            "edge_router.fault_injection.cache_process",
             str(cache.ident),
             str(cache.port),
             str(self.random.getrandbits(30)),
@@ -159,7 +159,7 @@
     async def _start_proxy(self) -> None:
         pairs = json.dumps([(cache.proxy_port, cache.port, cache.ident) for cache in self.caches])
         self.proxy = await self._spawn(
-            "stonecove.soak.proxy",
+            "edge_router.fault_injection.proxy",
             str(self.scenario.seed),
             pairs,
             stdin=subprocess.PIPE,
@@ -250,7 +250,7 @@
         log_path = seat.folder / f"log-{len(self.seen.lives)}"
         with log_path.open("wb") as output:
             seat.process = await self._spawn(
-                "stonecove.soak.shim",
+                "edge_router.fault_injection.shim",
                 stderr=output,
                 env={**os.environ, "RELAY_CONFIG": str(path), PLAN_VARIABLE: plan.to_json()},
             )
--- a/stonecove/soak/harness.py
+++ b/edge_router/fault_injection/harness.py
@@ -8,10 +8,10 @@
 
 import trio
 
-from stonecove.soak.fleet import Fleet
-from stonecove.soak.observations import Observations
-from stonecove.soak.scenario import Scenario
-from stonecove.soak.troubles import Troubles
+from edge_router.fault_injection.fleet import Fleet
+from edge_router.fault_injection.observations import Observations
+from edge_router.fault_injection.scenario import Scenario
+from edge_router.fault_injection.troubles import Troubles
 
 SETTLE = 3.5  # seconds after the last request for what is still open
 
--- a/stonecove/soak/oracle.py
+++ b/edge_router/fault_injection/oracle.py
@@ -12,9 +12,9 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from stonecove.soak.cache_process import content
-from stonecove.soak.observations import Answered, Asked, Begun, Observations
-from stonecove.soak.scenario import Scenario
+from edge_router.fault_injection.cache_process import content
+from edge_router.fault_injection.observations import Answered, Asked, Begun, Observations
+from edge_router.fault_injection.scenario import Scenario
 
 SLACK = 0.05  # every time limit is so much longer on sockets
 LAG = 0.1  # by which processes of a busy machine may see a thing later than it was
--- a/stonecove/soak/proxy.py
+++ b/edge_router/fault_injection/proxy.py
@@ -1,4 +1,4 @@
-"""A fault proxy between routers and caches: `python -m stonecove.soak.proxy SEED PAIRS`.
+"""A fault proxy between routers and caches: `python -m edge_router.fault_injection.proxy SEED PAIRS`.
 
 `PAIRS` is a JSON list of [port to listen at, port of the cache, id of the cache]. Orders come in on standard
 input, a line of JSON each: which port, which trouble, until which moment of the monotonic clock. Every fetch
@@ -18,9 +18,9 @@
 
 import trio
 
-from stonecove.soak.observations import Begun
-from stonecove.soak.protocol import CommandScanner, fields_from
-from stonecove.soak.scenario import Trouble
+from edge_router.fault_injection.observations import Begun
+from edge_router.fault_injection.protocol import CommandScanner, fields_from
+from edge_router.fault_injection.scenario import Trouble
 
 RESET = b"\1\0\0\0\0\0\0\0"  # SO_LINGER of 0 seconds: a close sends a reset
 PIECE = 7  # bytes passed on at once where the way is slow
--- a/stonecove/soak/scenario.py
+++ b/edge_router/fault_injection/scenario.py
@@ -7,7 +7,7 @@
 from enum import StrEnum
 from typing import Any
 
-from stonecove.soak.plan import Call, Fault
+from edge_router.fault_injection.plan import Call, Fault
 
 ZONES = ("hub", "edge")
 KINDS = ("box", "parent", "origin")
--- a/stonecove/soak/shim.py
+++ b/edge_router/fault_injection/shim.py
@@ -1,4 +1,4 @@
-"""Starts the router with faults injected into its clock, sockets and files: `python -m stonecove.soak.shim`.
+"""Start the router with faults injected into its clock, its sockets and its files.
 
 The plan comes in the environment (`plan.PLAN_VARIABLE`). The shim replaces `time.time`, `socket.socket` and
 `open` before the router's own modules are imported; the router's code stays as it is.
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from stonecove.soak.plan import PLAN_VARIABLE, Call, FaultPlan, raise_fault
+from edge_router.fault_injection.plan import PLAN_VARIABLE, Call, FaultPlan, raise_fault
 
 _RealSocket = socket.socket
 Readable = bytes | bytearray | memoryview
@@ -107,7 +107,7 @@
 def main() -> int:
     """Runs one router under the plan of the environment."""
     install(FaultPlan.from_json(os.environ[PLAN_VARIABLE]))
-    from stonecove.lifecycle.serve import main as serve
+    from edge_router.server.server import main as serve
 
     run: Callable[[], int] = serve
     return run()
--- a/stonecove/soak/troubles.py
+++ b/edge_router/fault_injection/troubles.py
@@ -9,10 +9,10 @@
 
 import trio
 
-from stonecove.soak.discovery import ChangeLog
-from stonecove.soak.fleet import CacheSeat, Fleet, RouterSeat, free_port
-from stonecove.soak.protocol import NodeRecord
-from stonecove.soak.scenario import Step, Trouble
+from edge_router.fault_injection.discovery import ChangeLog
+from edge_router.fault_injection.fleet import CacheSeat, Fleet, RouterSeat, free_port
+from edge_router.fault_injection.protocol import NodeRecord
+from edge_router.fault_injection.scenario import Step, Trouble
 
 FRONT_NOTICES = 1.0  # seconds until the front hands nothing more to a router that was killed
 CACHE_TROUBLES = (Trouble.HANG, Trouble.ERRORS, Trouble.SPOILT, Trouble.FORGET)
--- a/stonecove/explore/channels.py
+++ b/edge_router/model_checker/channels.py
@@ -8,9 +8,9 @@
 
 import marshal
 
-from stonecove.explore.machine import Violation
-from stonecove.wire.channel import Channel
-from stonecove.wire.resp import RespError, encode
+from edge_router.model_checker.machine import Violation
+from edge_router.protocol.resp import RespError, encode
+from edge_router.transport.upstream_channel import Channel
 
 WITHDRAWN = "-no"  # the command that is not written
 COMMANDS = ("aaa", "bbb", WITHDRAWN)
--- a/stonecove/explore/chart.py
+++ b/edge_router/model_checker/chart.py
@@ -10,8 +10,8 @@
 
 from matplotlib import pyplot  # noqa: E402
 
-from stonecove.explore.scope import ANSWERS  # noqa: E402
-from stonecove.explore.trace import TracedStep, Trace  # noqa: E402
+from edge_router.model_checker.scope import ANSWERS
+from edge_router.model_checker.trace import Trace, TracedStep
 
 ROW = 0.34  # inches a step
 _CLIENT = ("ask", "abort", "retry", "leave", "stall", "unstall")
--- a/stonecove/explore/codecs.py
+++ b/edge_router/model_checker/codecs.py
@@ -13,11 +13,11 @@
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass, field
 
-from stonecove.explore.machine import Violation
-from stonecove.explore.results import Found
-from stonecove.memory.budget import Budget
-from stonecove.wire import fastcgi, resp
-from stonecove.wire.buffer import Buffer, BufferFullError
+from edge_router.model_checker.machine import Violation
+from edge_router.model_checker.results import Found
+from edge_router.protocol import fastcgi, resp
+from edge_router.protocol.buffer import Buffer, BufferFullError
+from edge_router.runtime.memory_budget import Budget
 
 MOST_SPLIT_IN_ALL_WAYS = 12  # bytes
 MOST_SPLIT_EVERYWHERE = 200  # bytes of an illegal stream that is split at each place
--- a/stonecove/explore/copying.py
+++ b/edge_router/model_checker/copying.py
@@ -14,10 +14,10 @@
 from collections.abc import Callable, Iterable
 from typing import Any, Protocol
 
-from stonecove.explore.machine import Machine
-from stonecove.explore.scope import Scope
-from stonecove.interface import ClassSettings, Settings
-from stonecove.stages.intake import Intake
+from edge_router.decision.settings import ClassSettings, Settings
+from edge_router.model_checker.machine import Machine
+from edge_router.model_checker.scope import Scope
+from edge_router.proxy.request_parser import Intake
 
 _shared: list[object] = []
 _places: dict[int, int] = {}
--- a/stonecove/explore/expander.py
+++ b/edge_router/model_checker/expander.py
@@ -7,10 +7,10 @@
 from collections.abc import Callable, Iterator
 from typing import Any, NamedTuple
 
-from stonecove.explore.copying import DeepCopy, Pickle, Replay, StateCopier
-from stonecove.explore.fingerprint import fingerprint
-from stonecove.explore.machine import Machine, Violation, independent
-from stonecove.explore.results import SETTLE, MachineFactory, Steps, replay
+from edge_router.model_checker.copying import DeepCopy, Pickle, Replay, StateCopier
+from edge_router.model_checker.fingerprint import fingerprint
+from edge_router.model_checker.machine import Machine, Violation, independent
+from edge_router.model_checker.results import SETTLE, MachineFactory, Steps, replay
 
 CHUNK = 24  # frontier entries that a worker is given at a time
 GC_THRESHOLDS = (20_000, 20, 50)
--- a/stonecove/explore/fingerprint/__init__.py
+++ b/edge_router/model_checker/fingerprint/__init__.py
@@ -13,12 +13,17 @@
 
 import xxhash
 
-from stonecove.explore.fingerprint.common import Frame, Ledger, fields_of
-from stonecove.explore.fingerprint.decision import DECISION, encode_director
-from stonecove.explore.fingerprint.peers import PEERS, encode_server, encode_surroundings, encode_observer
-from stonecove.explore.fingerprint.proxy import PROXY, encode_proxy
-from stonecove.explore.fingerprint.transport import TRANSPORT, encode_timers
-from stonecove.explore.model.state import ModelState
+from edge_router.model_checker.fingerprint.common import Frame, Ledger, fields_of
+from edge_router.model_checker.fingerprint.decision import DECISION, encode_director
+from edge_router.model_checker.fingerprint.peers import (
+    PEERS,
+    encode_observer,
+    encode_server,
+    encode_surroundings,
+)
+from edge_router.model_checker.fingerprint.proxy import PROXY, encode_proxy
+from edge_router.model_checker.fingerprint.transport import TRANSPORT, encode_timers
+from edge_router.model_checker.model.state import ModelState
 
 LEDGER: Ledger = {**DECISION, **PROXY, **TRANSPORT, **PEERS}
 
--- a/stonecove/explore/fingerprint/common.py
+++ b/edge_router/model_checker/fingerprint/common.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable
 from typing import Any, NamedTuple
 
-from stonecove.interface import Node
-from stonecove.memory.requests import OpenRequest
+from edge_router.decision.messages import Node
+from edge_router.proxy.request_table import OpenRequest
 
 WIRING = "points to another part that is encoded on its own, and never changes"
 FIXED = "set once from the settings"
--- a/stonecove/explore/fingerprint/decision.py
+++ b/edge_router/model_checker/fingerprint/decision.py
@@ -5,11 +5,19 @@
 import math
 from typing import Any
 
-from stonecove import choice
-from stonecove.explore.fingerprint.common import DERIVED, FIXED, REPORTED, Fields, Frame, Ledger, rounded
+from edge_router.decision import policy
+from edge_router.model_checker.fingerprint.common import (
+    DERIVED,
+    FIXED,
+    REPORTED,
+    Fields,
+    Frame,
+    Ledger,
+    rounded,
+)
 
 DECISION: Ledger = {
-    choice.Director: Fields(
+    policy.Director: Fields(
         "_listed _popularity _cache_health _source_health _cold_caches _cold_parents _purges _held "
         "_loads _wait _origin _link _copies _mean_work _hedges",
         {
@@ -29,31 +37,31 @@
             "handle": "wrapped for the observer",
         },
     ),
-    choice.Held: Fields(
+    policy.Held: Fields(
         "work deadline aim attempts missed spares tried bad_sources",
         {"request": DERIVED, "cls": DERIVED, "why": REPORTED},
     ),
-    choice.Attempt: Fields(
+    policy.Attempt: Fields(
         "node source sent due fills budget beside filling pending may_have_run overdue",
         {"load": DERIVED, "source_load": DERIVED},
     ),
-    choice.Load: Fields("carries room span out work took sent at", {}),
-    choice.Health: Fields("heard marks until broke", {}),
-    choice.ColdBudget: Fields(
+    policy.Load: Fields("carries room span out work took sent at", {}),
+    policy.Health: Fields("heard marks until broke", {}),
+    policy.ColdBudget: Fields(
         "sent", {"_from": FIXED, "_warm_up": FIXED, "_multiple": FIXED, "_window": FIXED}
     ),
-    choice.Purges: Fields(
+    policy.Purges: Fields(
         "_moments",
         {"_lasts": FIXED, "_next_sweep": "when what is over is dropped; it has no effect"},
     ),
-    choice.Popularity: Fields(
+    policy.Popularity: Fields(
         "_table _total _bytes _origin _seen _rebuild_at _least _cuts",
         {"_half_life": FIXED},
     ),
 }
 
 
-def encode_director(director: choice.Director, frame: Frame) -> tuple[Any, ...]:
+def encode_director(director: policy.Director, frame: Frame) -> tuple[Any, ...]:
     """The decision module, in a form that can be sorted and compared."""
     return (
         tuple(frame.node(director._listed[key]) for key in sorted(director._listed)),
@@ -75,7 +83,7 @@
     )
 
 
-def _popularity(popularity: choice.Popularity, frame: Frame) -> tuple[Any, ...]:
+def _popularity(popularity: policy.Popularity, frame: Frame) -> tuple[Any, ...]:
     table = tuple(
         (key, rounded(item.size), rounded(item.count), item.parts)
         for key, item in sorted(popularity._table.items())
@@ -92,7 +100,7 @@
     )
 
 
-def _known_health(nodes: dict[int, choice.Health], frame: Frame) -> tuple[Any, ...]:
+def _known_health(nodes: dict[int, policy.Health], frame: Frame) -> tuple[Any, ...]:
     """The health of the nodes of which anything is known."""
     return tuple(
         (key, *found)
@@ -101,7 +109,7 @@
     )
 
 
-def _health(health: choice.Health, frame: Frame) -> tuple[float, ...] | None:
+def _health(health: policy.Health, frame: Frame) -> tuple[float, ...] | None:
     """A node's health; None if nothing is known."""
     found = (
         frame.time(health.heard),
@@ -112,14 +120,14 @@
     return None if found == (-math.inf, 0.0, -math.inf, -math.inf) else found
 
 
-def _cold_budget(budget: choice.ColdBudget, frame: Frame) -> tuple[Any, ...]:
+def _cold_budget(budget: policy.ColdBudget, frame: Frame) -> tuple[Any, ...]:
     return tuple(
         (key, tuple((frame.time(at), rounded(work)) for at, work in entries))
         for key, entries in sorted(budget.sent.items())
     )
 
 
-def _load(load: choice.Load, frame: Frame) -> tuple[Any, ...]:
+def _load(load: policy.Load, frame: Frame) -> tuple[Any, ...]:
     """The load of a link."""
     return (
         rounded(load.carries),
@@ -132,7 +140,7 @@
     )
 
 
-def _attempt(attempt: choice.Attempt, frame: Frame) -> tuple[Any, ...]:
+def _attempt(attempt: policy.Attempt, frame: Frame) -> tuple[Any, ...]:
     return (
         attempt.node,
         attempt.source,
@@ -149,7 +157,7 @@
     )
 
 
-def _held(held: choice.Held, frame: Frame) -> tuple[Any, ...]:
+def _held(held: policy.Held, frame: Frame) -> tuple[Any, ...]:
     """A request that the decision module has in flight."""
     return (
         rounded(held.work),
--- a/stonecove/explore/fingerprint/peers.py
+++ b/edge_router/model_checker/fingerprint/peers.py
@@ -4,16 +4,16 @@
 
 from typing import Any
 
-from stonecove.explore.fingerprint.common import DERIVED, WIRING, Fields, Frame, Ledger
-from stonecove.explore.fingerprint.transport import encode_channel, encode_session
-from stonecove.explore.model.change_log import ChangeLog
-from stonecove.explore.model.clients import Clients
-from stonecove.explore.model.endpoints import Endpoints
-from stonecove.explore.model.harness import Harness
-from stonecove.explore.model.state import ModelState
-from stonecove.explore.peers import LinkSocket, ServerChannel
-from stonecove.explore.properties import ObservedAttempt, ObservedRequest, Observer, RequestState
-from stonecove.stages.route import Route
+from edge_router.model_checker.fingerprint.common import DERIVED, WIRING, Fields, Frame, Ledger
+from edge_router.model_checker.fingerprint.transport import encode_channel, encode_session
+from edge_router.model_checker.model.change_log import ChangeLog
+from edge_router.model_checker.model.clients import Clients
+from edge_router.model_checker.model.endpoints import Endpoints
+from edge_router.model_checker.model.harness import Harness
+from edge_router.model_checker.model.state import ModelState
+from edge_router.model_checker.peers import LinkSocket, ServerChannel
+from edge_router.model_checker.properties import ObservedAttempt, ObservedRequest, Observer, RequestState
+from edge_router.proxy.request_router import Route
 
 EVENT_HEAD = 13  # bytes of an event of the change log before its payload
 
--- a/stonecove/explore/fingerprint/proxy.py
+++ b/edge_router/model_checker/fingerprint/proxy.py
@@ -5,7 +5,9 @@
 import math
 from typing import Any
 
-from stonecove.explore.fingerprint.common import (
+from edge_router.decision.messages import Get
+from edge_router.discovery import endpoint_table, purge_history
+from edge_router.model_checker.fingerprint.common import (
     DERIVED,
     FIXED,
     REPORTED,
@@ -15,13 +17,11 @@
     Ledger,
     rounded,
 )
-from stonecove.ground.timers import Alarm
-from stonecove.interface import Get
-from stonecove.memory import nodes, purges, requests
-from stonecove.memory.budget import Budget
-from stonecove.stages import admit, relay, send
-from stonecove.stages.book import Book
-from stonecove.stages.route import Route
+from edge_router.proxy import admission, dispatch, request_table, response_handler
+from edge_router.proxy.accounting import Book
+from edge_router.proxy.request_router import Route
+from edge_router.runtime.memory_budget import Budget
+from edge_router.runtime.timers import Alarm
 
 PROXY: Ledger = {
     Route: Fields(
@@ -46,7 +46,7 @@
             "_said": REPORTED,
         },
     ),
-    admit.Admit: Fields(
+    admission.Admit: Fields(
         "cpu latest",
         {
             "_random": "always the middle here",
@@ -70,7 +70,7 @@
             "_waited": REPORTED,
         },
     ),
-    relay.Relay: Fields(
+    response_handler.Relay: Fields(
         "",
         {
             "_settings": FIXED,
@@ -80,8 +80,8 @@
             "_purges": WIRING,
         },
     ),
-    purges.ToldPurges: Fields("_told", {"_kept_for": FIXED, "_next_sweep": DERIVED}),
-    send.Send: Fields(
+    purge_history.ToldPurges: Fields("_told", {"_kept_for": FIXED, "_next_sweep": DERIVED}),
+    dispatch.Send: Fields(
         "most_links _links _where",
         {
             "_clock": WIRING,
@@ -93,20 +93,20 @@
             "_connect": WIRING,
         },
     ),
-    send.Link: Fields(
+    dispatch.Link: Fields(
         "node address opened_at open given_up answered doubtful heard_at used_at connection",
         {"_send": WIRING},
     ),
-    requests.OpenRequests: Fields("_open _txns", {"_next": "a request is named by its place"}),
-    requests.OpenRequest: Fields(
+    request_table.OpenRequests: Fields("_open _txns", {"_next": "a request is named by its place"}),
+    request_table.OpenRequest: Fields(
         "asked deadline holds answered backstop expired attempts",
         {"req": "a request is named by its place"},
     ),
-    requests.Attempt: Fields(
+    request_table.Attempt: Fields(
         "number order ordered_at written_at outdated ended moved alarm outcome",
         {"request": WIRING},
     ),
-    nodes.NodeTable: Fields("_members", {"_starts": "peers and router share one clock here"}),
+    endpoint_table.NodeTable: Fields("_members", {"_starts": "peers and router share one clock here"}),
     Budget: Fields("most _used", {}),
 }
 
@@ -158,7 +158,7 @@
     )
 
 
-def _request(request: requests.OpenRequest, frame: Frame) -> tuple[Any, ...]:
+def _request(request: request_table.OpenRequest, frame: Frame) -> tuple[Any, ...]:
     return (
         int(request.asked.txn, 16),
         frame.time(request.deadline),
@@ -189,7 +189,7 @@
     )
 
 
-def _attempt(attempt: requests.Attempt, frame: Frame) -> tuple[Any, ...]:
+def _attempt(attempt: request_table.Attempt, frame: Frame) -> tuple[Any, ...]:
     return (
         attempt.number,
         _order(attempt.order, frame),
@@ -203,7 +203,7 @@
     )
 
 
-def _link(link: send.Link, frame: Frame) -> tuple[Any, ...]:
+def _link(link: dispatch.Link, frame: Frame) -> tuple[Any, ...]:
     """A connection to a cache as the send stage sees it, without its channel."""
     return (
         link.node,
@@ -220,7 +220,7 @@
 
 def encode_command(command: Any, frame: Frame) -> tuple[Any, ...]:
     """A command (a fetch or an abort) that waits to be written."""
-    if isinstance(command, send.Fetch):
+    if isinstance(command, dispatch.Fetch):
         attempt = command._attempt
         return (frame.place(attempt.request.req), attempt.number, attempt.ended)
     return (command._txn,)
--- a/stonecove/explore/fingerprint/transport.py
+++ b/edge_router/model_checker/fingerprint/transport.py
@@ -6,14 +6,14 @@
 from functools import partial
 from typing import Any
 
-from stonecove.explore.fingerprint.common import REPORTED, WIRING, Fields, Frame, Ledger
-from stonecove.explore.fingerprint.proxy import encode_command
-from stonecove.ground.timers import Timers
-from stonecove.memory import requests
-from stonecove.wire import fastcgi
-from stonecove.wire.channel import Channel
-from stonecove.wire.resp import Decoder
-from stonecove.wire.session import Session
+from edge_router.model_checker.fingerprint.common import REPORTED, WIRING, Fields, Frame, Ledger
+from edge_router.model_checker.fingerprint.proxy import encode_command
+from edge_router.protocol import fastcgi
+from edge_router.protocol.resp import Decoder
+from edge_router.proxy import request_table
+from edge_router.runtime.timers import Timers
+from edge_router.transport.client_session import Session
+from edge_router.transport.upstream_channel import Channel
 
 TRANSPORT: Ledger = {
     Timers: Fields(
@@ -111,9 +111,9 @@
         return (getattr(call, "__name__", ""),)
     found: list[Any] = [getattr(call.func, "__name__", "")]
     for argument in call.args:
-        if isinstance(argument, requests.Attempt):
+        if isinstance(argument, request_table.Attempt):
             found += [frame.place(argument.request.req), argument.number]
-        elif isinstance(argument, requests.OpenRequest):
+        elif isinstance(argument, request_table.OpenRequest):
             found.append(frame.place(argument.req))
         else:
             found.append(frame.place(getattr(argument, "token", -1)))
--- a/stonecove/explore/frontier.py
+++ b/edge_router/model_checker/frontier.py
@@ -11,10 +11,10 @@
 
 import numpy as np
 
-from stonecove.explore.expander import Entry, Expansion, Successor
-from stonecove.explore.machine import Violation
-from stonecove.explore.results import Found, Result, Steps
-from stonecove.explore.visited import FingerprintSet, Visited
+from edge_router.model_checker.expander import Entry, Expansion, Successor
+from edge_router.model_checker.machine import Violation
+from edge_router.model_checker.results import Found, Result, Steps
+from edge_router.model_checker.visited import FingerprintSet, Visited
 
 DIGEST_SIZE = 16  # bytes of the check sum at the start of a file
 SAVED_CLASSES: dict[str, type] = {cls.__name__: cls for cls in (Entry, Found, Result, Violation, frozenset)}
--- a/stonecove/explore/model/caches.py
+++ b/edge_router/model_checker/model/caches.py
@@ -4,11 +4,11 @@
 
 from dataclasses import dataclass
 
-from stonecove.explore.model.clients import ETAG, Clients, place_of, txn_id
-from stonecove.explore.model.harness import START, Harness
-from stonecove.explore.peers import PartialAnswer, ServerChannel, SocketEnd
-from stonecove.explore.scope import ANSWERS, NORMAL_ANSWERS, Scope
-from stonecove.wire import resp
+from edge_router.model_checker.model.clients import ETAG, Clients, place_of, txn_id
+from edge_router.model_checker.model.harness import START, Harness
+from edge_router.model_checker.peers import PartialAnswer, ServerChannel, SocketEnd
+from edge_router.model_checker.scope import ANSWERS, NORMAL_ANSWERS, Scope
+from edge_router.protocol import resp
 
 STALE_AGE = 5000.0  # milliseconds by which a stale copy was born before the start
 CHOKED_ROOM = (0, 20)  # bytes that a choked connection still accepts
--- a/stonecove/explore/model/change_log.py
+++ b/edge_router/model_checker/model/change_log.py
@@ -4,13 +4,13 @@
 
 import struct
 
-from stonecove.explore.model.endpoints import Endpoints
-from stonecove.explore.model.harness import Harness
-from stonecove.explore.properties import ObservedPurge
-from stonecove.interface import NodeState
-from stonecove.membership import MembersTold, PurgeTold, Told
-from stonecove.wire.buffer import Buffer
-from stonecove.wire.changelog import Follower, frames
+from edge_router.decision.messages import NodeState
+from edge_router.discovery.change_log import Follower, frames
+from edge_router.discovery.events import MembersTold, PurgeTold, Told
+from edge_router.model_checker.model.endpoints import Endpoints
+from edge_router.model_checker.model.harness import Harness
+from edge_router.model_checker.properties import ObservedPurge
+from edge_router.protocol.buffer import Buffer
 
 PURGED_GROUP = 3
 COMPLETE_LIST, CHANGED_NODES, OBJECT_PURGE, GROUP_PURGE = 1, 2, 3, 4  # kinds of events
--- a/stonecove/explore/model/clients.py
+++ b/edge_router/model_checker/model/clients.py
@@ -5,17 +5,18 @@
 from dataclasses import dataclass, replace
 from enum import StrEnum
 
-from stonecove.choice import Ring, part_key
-from stonecove.explore import scope as bounds
-from stonecove.explore.model.endpoints import FIRST_CACHE
-from stonecove.explore.model.harness import Harness
-from stonecove.explore.peers import ClientRequestFields, ClientSession, ClientSocket, request_bytes
-from stonecove.explore.properties import RequestState, Verdict
-from stonecove.explore.scope import CACHE, CLASSES, Scope
-from stonecove.interface import Effect, Node, NodeState, Request
-from stonecove.stages.admit import MARGIN
-from stonecove.stages.route import BACKSTOP
-from stonecove.wire import fastcgi
+from edge_router.decision.messages import Node, NodeState, Request
+from edge_router.decision.policy import Ring, part_key
+from edge_router.decision.settings import Effect
+from edge_router.model_checker import scope as bounds
+from edge_router.model_checker.model.endpoints import FIRST_CACHE
+from edge_router.model_checker.model.harness import Harness
+from edge_router.model_checker.peers import ClientRequestFields, ClientSession, ClientSocket, request_bytes
+from edge_router.model_checker.properties import RequestState, Verdict
+from edge_router.model_checker.scope import CACHE, CLASSES, Scope
+from edge_router.protocol import fastcgi
+from edge_router.proxy.admission import MARGIN
+from edge_router.proxy.request_router import BACKSTOP
 
 TTL = 400.0  # milliseconds that clients wait
 BODY = b"b" * 8
--- a/stonecove/explore/model/endpoints.py
+++ b/edge_router/model_checker/model/endpoints.py
@@ -5,8 +5,8 @@
 import struct
 from dataclasses import dataclass
 
-from stonecove.explore.scope import CACHE, ORIGIN, PARENT, Scope
-from stonecove.interface import NodeState
+from edge_router.decision.messages import NodeState
+from edge_router.model_checker.scope import CACHE, ORIGIN, PARENT, Scope
 
 FIRST_CACHE = 0x11  # node id of c1
 FIRST_PORT = 7000
--- a/stonecove/explore/model/harness.py
+++ b/edge_router/model_checker/model/harness.py
@@ -5,19 +5,19 @@
 import math
 from typing import Any
 
-from stonecove.explore import scope as bounds
-from stonecove.explore.model.endpoints import Endpoints
-from stonecove.explore.peers import ServerChannel
-from stonecove.explore.properties import Observer
-from stonecove.explore.scope import CLASSES, Scope
-from stonecove.ground import log as ground_log
-from stonecove.ground.clock import Clock, CpuCredit
-from stonecove.ground.timers import Timers
-from stonecove.interface import Action, Ended, Event, Get
-from stonecove.memory.budget import Budget
-from stonecove.stages.route import Route
-from stonecove.stages.send import Link, connection_limit
-from stonecove.wire.front import Front
+from edge_router.decision.messages import Action, Ended, Event, Get
+from edge_router.model_checker import scope as bounds
+from edge_router.model_checker.model.endpoints import Endpoints
+from edge_router.model_checker.peers import ServerChannel
+from edge_router.model_checker.properties import Observer
+from edge_router.model_checker.scope import CLASSES, Scope
+from edge_router.proxy.dispatch import Link, connection_limit
+from edge_router.proxy.fastcgi_frontend import Front
+from edge_router.proxy.request_router import Route
+from edge_router.runtime import event_log as ground_log
+from edge_router.runtime.clock import Clock, CpuCredit
+from edge_router.runtime.memory_budget import Budget
+from edge_router.runtime.timers import Timers
 
 START = 1_000_000.0  # the Unix second at which every run begins
 CLOCK_STEP = 1e-7  # seconds past an alarm's time to which a wait goes, so that equal times are one instant
--- a/stonecove/explore/model/router_model.py
+++ b/edge_router/model_checker/model/router_model.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from stonecove.explore.fingerprint import encode_state
-from stonecove.explore.machine import Violation
-from stonecove.explore.model import settling, steps
-from stonecove.explore.model.state import ModelState
-from stonecove.explore.scope import Scope
+from edge_router.model_checker.fingerprint import encode_state
+from edge_router.model_checker.machine import Violation
+from edge_router.model_checker.model import settling, steps
+from edge_router.model_checker.model.state import ModelState
+from edge_router.model_checker.scope import Scope
 
 MOST_SETTLING_STEPS = 400  # default steps within which everything must be quiet
 IMMEDIATE_WORDS = ("end", "decide")  # the router's turns that a coarse scope takes at once
--- a/stonecove/explore/model/settling.py
+++ b/edge_router/model_checker/model/settling.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from stonecove.explore.model.state import ModelState
+from edge_router.model_checker.model.state import ModelState
 
 
 def check_end(state: ModelState) -> None:
--- a/stonecove/explore/model/state.py
+++ b/edge_router/model_checker/model/state.py
@@ -4,12 +4,12 @@
 
 from dataclasses import dataclass
 
-from stonecove.explore.model.caches import Caches
-from stonecove.explore.model.change_log import ChangeLog
-from stonecove.explore.model.clients import Clients
-from stonecove.explore.model.endpoints import Endpoints
-from stonecove.explore.model.harness import Harness
-from stonecove.explore.scope import Scope
+from edge_router.model_checker.model.caches import Caches
+from edge_router.model_checker.model.change_log import ChangeLog
+from edge_router.model_checker.model.clients import Clients
+from edge_router.model_checker.model.endpoints import Endpoints
+from edge_router.model_checker.model.harness import Harness
+from edge_router.model_checker.scope import Scope
 
 
 @dataclass(slots=True)
--- a/stonecove/explore/model/steps.py
+++ b/edge_router/model_checker/model/steps.py
@@ -8,10 +8,10 @@
 import math
 from collections.abc import Callable
 
-from stonecove.explore.model.clients import txn_id
-from stonecove.explore.model.state import ModelState
-from stonecove.explore.scope import ALL_FAULTS, ANSWERS, NORMAL_ANSWERS
-from stonecove.interface import NodeState
+from edge_router.decision.messages import NodeState
+from edge_router.model_checker.model.clients import txn_id
+from edge_router.model_checker.model.state import ModelState
+from edge_router.model_checker.scope import ALL_FAULTS, ANSWERS, NORMAL_ANSWERS
 
 DIGITS = "0123456789"
 
--- a/stonecove/explore/mutation_run.py
+++ b/edge_router/model_checker/mutation_run.py
@@ -8,15 +8,15 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from stonecove.explore import codecs, mutations
-from stonecove.explore.channels import ChannelMachine
-from stonecove.explore.expander import Setup, WorkerPool
-from stonecove.explore.machine import Machine
-from stonecove.explore.results import Found, MachineFactory, Result
-from stonecove.explore.scope import SMALL, WALK, Scope, named
-from stonecove.explore.search import Options, Progress, breadth_first
-from stonecove.explore.trace import Trace, model_factory, shrink
-from stonecove.explore.walk import Walks, walk
+from edge_router.model_checker import codecs, mutations
+from edge_router.model_checker.channels import ChannelMachine
+from edge_router.model_checker.expander import Setup, WorkerPool
+from edge_router.model_checker.machine import Machine
+from edge_router.model_checker.results import Found, MachineFactory, Result
+from edge_router.model_checker.scope import SMALL, WALK, Scope, named
+from edge_router.model_checker.search import Options, Progress, breadth_first
+from edge_router.model_checker.trace import Trace, model_factory, shrink
+from edge_router.model_checker.walk import Walks, walk
 
 CHANNEL_DEPTH = 14
 MOST_SECONDS_PER_SCOPE = 400.0  # then a scope is given up, and reported as incomplete
--- a/stonecove/explore/mutations/__init__.py
+++ b/edge_router/model_checker/mutations/__init__.py
@@ -6,10 +6,10 @@
 
 from __future__ import annotations
 
-from stonecove.explore.mutations.common import Mutation, MutationError, Replacement, apply
-from stonecove.explore.mutations.decision import DECISION_MUTATIONS
-from stonecove.explore.mutations.proxy import PROXY_MUTATIONS
-from stonecove.explore.mutations.transport import TRANSPORT_MUTATIONS
+from edge_router.model_checker.mutations.common import Mutation, MutationError, Replacement, apply
+from edge_router.model_checker.mutations.decision import DECISION_MUTATIONS
+from edge_router.model_checker.mutations.proxy import PROXY_MUTATIONS
+from edge_router.model_checker.mutations.transport import TRANSPORT_MUTATIONS
 
 __all__ = ["MUTATIONS", "Mutation", "MutationError", "by_name", "plant"]
 
--- a/stonecove/explore/mutations/decision.py
+++ b/edge_router/model_checker/mutations/decision.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from stonecove import choice, rules
-from stonecove.explore.mutations.common import Mutation
+from edge_router.decision import policy, rules
+from edge_router.model_checker.mutations.common import Mutation
 
 DECISION_MUTATIONS: tuple[Mutation, ...] = (
     Mutation(
@@ -26,7 +26,7 @@
     ),
     Mutation(
         "purge-limit-gone",
-        choice.Purges,
+        policy.Purges,
         "limit",
         "now - told < self._lasts",
         "False",
@@ -63,7 +63,7 @@
     ),
     Mutation(
         "error-proves-nothing-ran",
-        choice.Director,
+        policy.Director,
         "_on_end",
         "attempt.may_have_run = event.outcome not in rules.PROVES_NOT_RUN",
         "attempt.may_have_run = event.outcome is Outcome.TIMEOUT",
@@ -81,7 +81,7 @@
     ),
     Mutation(
         "more-attempts-than-allowed",
-        choice.Director,
+        policy.Director,
         "_leave",
         "len(held.attempts) >= settings.most_attempts\n        or",
         "",
@@ -90,7 +90,7 @@
     ),
     Mutation(
         "nothing-called-off",
-        choice.Director,
+        policy.Director,
         "_close",
         "if self._set.may_cancel:",
         "if False:",
@@ -99,7 +99,7 @@
     ),
     Mutation(
         "given-up-unanswered",
-        choice.Director,
+        policy.Director,
         "_on_end",
         "self._give_up(held)",
         "pass",
@@ -108,7 +108,7 @@
     ),
     Mutation(
         "load-not-taken-off",
-        choice.Director,
+        policy.Director,
         "_ended",
         "attempt.load.out -= 1",
         "pass",
--- a/stonecove/explore/mutations/proxy.py
+++ b/edge_router/model_checker/mutations/proxy.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from stonecove.stages import admit, book, relay, route, send
-from stonecove.memory import nodes, requests
-from stonecove.explore.mutations.common import Mutation
+from edge_router.discovery import endpoint_table
+from edge_router.model_checker.mutations.common import Mutation
+from edge_router.proxy import accounting, admission, dispatch, request_router, request_table, response_handler
 
 PROXY_MUTATIONS: tuple[Mutation, ...] = (
     Mutation(
         "first-answer-guard-gone",
-        relay.Relay,
+        response_handler.Relay,
         "answer",
         "if request.answered:",
         "if False:",
@@ -18,7 +18,7 @@
     ),
     Mutation(
         "left-not-noted",
-        relay.Relay,
+        response_handler.Relay,
         "left",
         "request.answered = True",
         "request.answered = False",
@@ -27,7 +27,7 @@
     ),
     Mutation(
         "wrong-copy-passed-on",
-        relay.Relay,
+        response_handler.Relay,
         "arrived",
         "(wrong := self._wrong(attempt, reply))",
         "(wrong := '')",
@@ -36,7 +36,7 @@
     ),
     Mutation(
         "age-of-class-forgotten",
-        relay.Relay,
+        response_handler.Relay,
         "_oldest",
         "attempt.order.age or cls.fresh",
         "0.0",
@@ -45,7 +45,7 @@
     ),
     Mutation(
         "unknown-word-passed-on",
-        relay.Relay,
+        response_handler.Relay,
         "spoilt",
         "if reply.word not in OUTCOMES:",
         "if False:",
@@ -54,7 +54,7 @@
     ),
     Mutation(
         "last-look-gone",
-        send.Send,
+        dispatch.Send,
         "begin",
         "if not self.may_go(attempt):",
         "if False:",
@@ -63,7 +63,7 @@
     ),
     Mutation(
         "reset-told-as-never-run",
-        send.Send,
+        dispatch.Send,
         "down",
         "Outcome.RESET if attempt.written_at else unseen",
         "unseen",
@@ -72,7 +72,7 @@
     ),
     Mutation(
         "unwritten-told-as-reset",
-        send.Send,
+        dispatch.Send,
         "down",
         "Outcome.RESET if attempt.written_at else unseen",
         "Outcome.RESET",
@@ -81,7 +81,7 @@
     ),
     Mutation(
         "late-told-as-never-run",
-        send.Send,
+        dispatch.Send,
         "late",
         "Outcome.TIMEOUT if attempt.written_at else Outcome.CONNECT_FAILED",
         "Outcome.CONNECT_FAILED",
@@ -90,7 +90,7 @@
     ),
     Mutation(
         "written-moved-to-another",
-        send.Send,
+        dispatch.Send,
         "down",
         "and not attempt.written_at and",
         "and",
@@ -99,7 +99,7 @@
     ),
     Mutation(
         "cancel-forgets-abort",
-        send.Send,
+        dispatch.Send,
         "cancel",
         "link.connection.put(Abort(attempt.request.asked.txn))",
         "pass",
@@ -107,12 +107,20 @@
         "cancelled",
     ),
     Mutation(
-        "link-taken-twice", send.Link, "takes", "txn in self.answered", "False", ("confirm",), "run-is-run"
+        "link-taken-twice",
+        dispatch.Link,
+        "takes",
+        "txn in self.answered",
+        "False",
+        ("confirm",),
+        "run-is-run",
+    ),
+    Mutation(
+        "link-kept-after-end", dispatch.Send, "down", "links.remove(link)", "pass", ("links",), "no-leak"
     ),
-    Mutation("link-kept-after-end", send.Send, "down", "links.remove(link)", "pass", ("links",), "no-leak"),
     Mutation(
         "answer-not-unlinked",
-        send.Send,
+        dispatch.Send,
         "_unlink",
         "link.open.pop(attempt.request.asked.txn, None)",
         "pass",
@@ -121,7 +129,7 @@
     ),
     Mutation(
         "gone-keeps-connections",
-        send.Send,
+        dispatch.Send,
         "gone",
         "link.connection.close()",
         "pass",
@@ -130,7 +138,7 @@
     ),
     Mutation(
         "purge-not-marked",
-        route.Route,
+        request_router.Route,
         "told",
         "attempt.outdated |=",
         "_ =",
@@ -140,7 +148,7 @@
     ),
     Mutation(
         "older-copy-passed-on",
-        relay.Relay,
+        response_handler.Relay,
         "_wrong",
         "born < self._purges.newest(asked.key, asked.group, attempt.written_at)",
         "False",
@@ -150,7 +158,7 @@
     ),
     Mutation(
         "backstop-not-set",
-        route.Route,
+        request_router.Route,
         "asked",
         "request.backstop = self._timers.at(request.deadline + BACKSTOP, partial(self._backstop, request))",
         "pass",
@@ -160,7 +168,7 @@
     ),
     Mutation(
         "left-not-posted",
-        route.Route,
+        request_router.Route,
         "left",
         "self.post(Left(request.req))",
         "pass",
@@ -169,7 +177,7 @@
     ),
     Mutation(
         "end-told-twice",
-        book.Book,
+        accounting.Book,
         "ended",
         "self.close_if_over(request)",
         "self.close_if_over(request); self._post(Ended(request.req, attempt.number, order.node, outcome, "
@@ -179,17 +187,17 @@
     ),
     Mutation(
         "first-byte-lost",
-        relay.Relay,
+        response_handler.Relay,
         "arrived",
         "Answer(verdict, reply.body,",
         "Answer(verdict, reply.body[1:],",
         ("answers",),
         "as-made",
     ),
-    Mutation("id-open-twice", send.Link, "takes", "or txn in self.open\n", "", ("limits",), "one-id"),
+    Mutation("id-open-twice", dispatch.Link, "takes", "or txn in self.open\n", "", ("limits",), "one-id"),
     Mutation(
         "no-connection-not-looked-at",
-        send.Send,
+        dispatch.Send,
         "_place",
         "if link is None:",
         "if False:",
@@ -198,7 +206,7 @@
     ),
     Mutation(
         "alarm-not-taken-off",
-        book.Book,
+        accounting.Book,
         "ended",
         "attempt.alarm.off()",
         "attempt.ended = False",
@@ -207,7 +215,7 @@
     ),
     Mutation(
         "closed-too-late",
-        book.Book,
+        accounting.Book,
         "close_if_over",
         "if request.answered and",
         "if False and",
@@ -216,7 +224,7 @@
     ),
     Mutation(
         "given-back-twice",
-        admit.Admit,
+        admission.Admit,
         "leave",
         "if self._requests.drop(request.req):",
         "if self._requests.drop(request.req) or True:",
@@ -225,7 +233,7 @@
     ),
     Mutation(
         "set-aside-for-good",
-        admit.Admit,
+        admission.Admit,
         "leave",
         "self._budget.give(request.holds)",
         "pass",
@@ -234,7 +242,7 @@
     ),
     Mutation(
         "no-margin-before-the-limit",
-        admit.Admit,
+        admission.Admit,
         "enter",
         "asked.unread_for - MARGIN",
         "asked.unread_for + MARGIN",
@@ -243,7 +251,7 @@
     ),
     Mutation(
         "ids-kept",
-        requests.OpenRequests,
+        request_table.OpenRequests,
         "drop",
         "del self._txns[request.asked.txn]",
         "pass",
@@ -252,7 +260,7 @@
     ),
     Mutation(
         "draining-counts-as-ready",
-        nodes.NodeTable,
+        endpoint_table.NodeTable,
         "ready",
         "member.node.state is NodeState.READY",
         "True",
@@ -261,7 +269,7 @@
     ),
     Mutation(
         "stray-taken-as-owed",
-        send.Send,
+        dispatch.Send,
         "arrived",
         "attempt = link.open.get(txn)",
         "attempt = link.open.get(txn) or next(iter(link.open.values()), None)",
@@ -270,7 +278,7 @@
     ),
     Mutation(
         "purges-forgotten",
-        route.Route,
+        request_router.Route,
         "told",
         "self._purged(event)",
         "pass",
--- a/stonecove/explore/mutations/transport.py
+++ b/edge_router/model_checker/mutations/transport.py
@@ -2,13 +2,15 @@
 
 from __future__ import annotations
 
-from stonecove.wire import changelog, channel, fastcgi, resp, session
-from stonecove.explore.mutations.common import Mutation
+from edge_router.discovery import change_log
+from edge_router.model_checker.mutations.common import Mutation
+from edge_router.protocol import fastcgi, resp
+from edge_router.transport import client_session, upstream_channel
 
 TRANSPORT_MUTATIONS: tuple[Mutation, ...] = (
     Mutation(
         "change-taken-for-the-whole",
-        changelog.Follower,
+        change_log.Follower,
         "take",
         "if frame.number <= self.last:",
         "if False:",
@@ -17,7 +19,7 @@
     ),
     Mutation(
         "gap-not-noticed",
-        changelog.Follower,
+        change_log.Follower,
         "take",
         "if frame.number > self.last + 1 and",
         "if False and",
@@ -26,7 +28,7 @@
     ),
     Mutation(
         "unwritten-not-told",
-        channel.Channel,
+        upstream_channel.Channel,
         "_pump_one",
         "command.unwritten()",
         "pass",
@@ -35,7 +37,7 @@
     ),
     Mutation(
         "rest-forgotten",
-        channel.Channel,
+        upstream_channel.Channel,
         "_pump_one",
         "self._rest = self._rest[sent:]",
         "self._rest = b''",
@@ -44,7 +46,7 @@
     ),
     Mutation(
         "end-not-looked-for",
-        channel.Channel,
+        upstream_channel.Channel,
         "_ended",
         "self.close()",
         "return False",
@@ -53,7 +55,7 @@
     ),
     Mutation(
         "end-before-it-is-sent",
-        session.Session,
+        client_session.Session,
         "_gulp",
         "self._decoder.open.discard(ident)",
         "pass",
@@ -110,7 +112,7 @@
     ),
     Mutation(
         "told-twice",
-        channel.Channel,
+        upstream_channel.Channel,
         "close",
         "self._stop()",
         "self._stop(); self._owner.closed(self, '')",
@@ -119,7 +121,7 @@
     ),
     Mutation(
         "queue-turned-round",
-        channel.Channel,
+        upstream_channel.Channel,
         "_pump_one",
         "self._queue.appendleft(command)",
         "self._queue.append(command)",
--- a/stonecove/explore/peers.py
+++ b/edge_router/model_checker/peers.py
@@ -9,11 +9,11 @@
 from enum import StrEnum
 from typing import Protocol
 
-from stonecove.memory.budget import Budget
-from stonecove.stages.send import Link
-from stonecove.wire import fastcgi, resp
-from stonecove.wire.channel import Channel
-from stonecove.wire.session import Handler, Session
+from edge_router.protocol import fastcgi, resp
+from edge_router.proxy.dispatch import Link
+from edge_router.runtime.memory_budget import Budget
+from edge_router.transport.client_session import Handler, Session
+from edge_router.transport.upstream_channel import Channel
 
 _FETCH = re.compile(rb"\*4\r\n\$5\r\nfetch\r\n\$16\r\n([0-9a-f]{16})\r\n\$\d+\r\n([^\r]*)\r\n")
 _ABORT = re.compile(rb"\*2\r\n\$5\r\nabort\r\n\$16\r\n([0-9a-f]{16})\r\n")
--- a/stonecove/explore/properties.py
+++ b/edge_router/model_checker/properties.py
@@ -10,9 +10,10 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-from stonecove.explore.machine import Violation
-from stonecove.interface import ClassSettings, Effect, KeyGroup, Node, NodeState, Outcome
-from stonecove.stages.relay import SLACK
+from edge_router.decision.messages import Node, NodeState, Outcome
+from edge_router.decision.settings import ClassSettings, Effect, KeyGroup
+from edge_router.model_checker.machine import Violation
+from edge_router.proxy.response_handler import SLACK
 
 
 class Property(NamedTuple):
--- a/stonecove/explore/reach.py
+++ b/edge_router/model_checker/reach.py
@@ -12,88 +12,116 @@
 
 import coverage
 
-import stonecove
-from stonecove.explore import mutation_run
-from stonecove.explore.properties import PROPERTIES
-from stonecove.explore.scope import SMALL, WALK
-from stonecove.explore.expander import WorkerPool
-from stonecove.explore.trace import model_factory
-from stonecove.explore.walk import Walks, walk
+import edge_router
+from edge_router.model_checker import mutation_run
+from edge_router.model_checker.expander import WorkerPool
+from edge_router.model_checker.properties import PROPERTIES
+from edge_router.model_checker.scope import SMALL, WALK
+from edge_router.model_checker.trace import model_factory
+from edge_router.model_checker.walk import Walks, walk
 
-ROOT = Path(stonecove.__file__).parent
+ROOT = Path(edge_router.__file__).parent
 WALKS, WALK_STEPS = 3, 1500
 CORE = (
-    "choice.py",
-    "exchange.py",
-    "ground/timers.py",
-    "memory/budget.py",
-    "memory/nodes.py",
-    "memory/requests.py",
-    "stages/admit.py",
-    "stages/book.py",
-    "stages/intake.py",
-    "stages/relay.py",
-    "stages/route.py",
-    "stages/send.py",
-    "wire/buffer.py",
-    "wire/changelog.py",
-    "wire/channel.py",
-    "wire/fastcgi.py",
-    "wire/front.py",
-    "wire/resp.py",
-    "wire/session.py",
+    "decision/policy.py",
+    "proxy/exchange.py",
+    "runtime/timers.py",
+    "runtime/memory_budget.py",
+    "discovery/endpoint_table.py",
+    "proxy/request_table.py",
+    "proxy/admission.py",
+    "proxy/accounting.py",
+    "proxy/request_parser.py",
+    "proxy/response_handler.py",
+    "proxy/request_router.py",
+    "proxy/dispatch.py",
+    "protocol/buffer.py",
+    "discovery/change_log.py",
+    "transport/upstream_channel.py",
+    "protocol/fastcgi.py",
+    "proxy/fastcgi_frontend.py",
+    "protocol/resp.py",
+    "transport/client_session.py",
 )
 
 # Why lines may be missed: file, pattern of function names, reason. The first that matches holds.
 REASONS: tuple[tuple[str, str, str], ...] = (
     (
-        "choice.py",
+        "decision/policy.py",
         "note|_evict|_rescale|_rebuild|rank|admitted|byte_share|_spread|_cache_choices",
         "popularity of thousands of requests; a scope has two, a walk hundreds",
     ),
     (
-        "choice.py",
+        "decision/policy.py",
         "_has_copy|_copied|_crowded|_link_crowded|learn|pace",
         "load of a crowded link; the bench's days play it",
     ),
-    ("choice.py", "present|fits", "a cold budget that is used up takes more requests than a scope has"),
     (
-        "choice.py",
+        "decision/policy.py",
+        "present|fits",
+        "a cold budget that is used up takes more requests than a scope has",
+    ),
+    (
+        "decision/policy.py",
         "_on_list|_on_request|Director.__init__|handle",
         "polled lists and unknown classes, which only the simulator has",
     ),
-    ("choice.py", "_leave|_may_repeat|_copy_wanted", "cold budgets, no second copies, stale times"),
-    ("choice.py", "_on_end", "late events, which the stages never send"),
-    ("exchange.py", "__init__", "bad requests: tests/test_router.py"),
-    ("ground/timers.py", "next_due|_make", "an alarm that raises; the seeded faults and tests play it"),
-    ("stages/book.py", "ended", "the second line against a second end: every caller looks first"),
-    ("stages/relay.py", "answer", "the second line against a second answer, in nocancel at its full depth"),
-    ("stages/relay.py", "spoilt|_wrong", "long bodies and wrong tags: tests/test_router.py"),
-    ("stages/route.py", "asked", "when memory is out, the codec turns requests away before the stages"),
-    ("stages/route.py", "_one", "an error in the decisions; the seeded faults play it"),
-    ("stages/route.py", "_backstop|_get", "the last line: the module answers first; SIGTERM at full depth"),
-    ("stages/route.py", "expire", "the scope stopped at its full depth"),
-    ("stages/send.py", "takes|_place|arrived|down", "full connections, short arrays: tests/test_router.py"),
-    ("wire/changelog.py", "take", "empty frames and unknown kinds: tests/test_router.py"),
-    ("wire/channel.py", "_pump", "a last look that leads to the next command: drain at full depth"),
-    ("wire/session.py", "_request|_pump", "bad requests, and clients that are gone: tests/test_router.py"),
+    ("decision/policy.py", "_leave|_may_repeat|_copy_wanted", "cold budgets, no second copies, stale times"),
+    ("decision/policy.py", "_on_end", "late events, which the stages never send"),
+    ("proxy/exchange.py", "__init__", "bad requests: tests/test_router.py"),
+    ("runtime/timers.py", "next_due|_make", "an alarm that raises; the seeded faults and tests play it"),
+    ("proxy/accounting.py", "ended", "the second line against a second end: every caller looks first"),
+    (
+        "proxy/response_handler.py",
+        "answer",
+        "the second line against a second answer, in nocancel at its full depth",
+    ),
+    ("proxy/response_handler.py", "spoilt|_wrong", "long bodies and wrong tags: tests/test_router.py"),
+    (
+        "proxy/request_router.py",
+        "asked",
+        "when memory is out, the codec turns requests away before the stages",
+    ),
+    ("proxy/request_router.py", "_one", "an error in the decisions; the seeded faults play it"),
+    (
+        "proxy/request_router.py",
+        "_backstop|_get",
+        "the last line: the module answers first; SIGTERM at full depth",
+    ),
+    ("proxy/request_router.py", "expire", "the scope stopped at its full depth"),
+    (
+        "proxy/dispatch.py",
+        "takes|_place|arrived|down",
+        "full connections, short arrays: tests/test_router.py",
+    ),
+    ("discovery/change_log.py", "take", "empty frames and unknown kinds: tests/test_router.py"),
+    (
+        "transport/upstream_channel.py",
+        "_pump",
+        "a last look that leads to the next command: drain at full depth",
+    ),
+    (
+        "transport/client_session.py",
+        "_request|_pump",
+        "bad requests, and clients that are gone: tests/test_router.py",
+    ),
     (
-        "wire/changelog.py",
+        "discovery/change_log.py",
         "member_from|_place|known_events|_accept_gap|frames|_members|_frame",
         "the JSON of the start, and broken frames: tests/test_router.py",
     ),
     (
-        "wire/session.py",
+        "transport/client_session.py",
         "check|idle|quiet|_leave|received|_owe",
         "slow and bad clients: tests/test_router.py",
     ),
-    ("wire/front.py", "", "bad requests and /status/live: tests/test_router.py"),
-    ("stages/intake.py", "", "bad requests: tests/test_router.py"),
-    ("wire/fastcgi.py", "", "played by the codec machine, or limits of many requests"),
-    ("wire/resp.py", "", "played by the codec machine"),
-    ("wire/buffer.py", "", "large buffers: tests/test_router.py"),
+    ("proxy/fastcgi_frontend.py", "", "bad requests and /status/live: tests/test_router.py"),
+    ("proxy/request_parser.py", "", "bad requests: tests/test_router.py"),
+    ("protocol/fastcgi.py", "", "played by the codec machine, or limits of many requests"),
+    ("protocol/resp.py", "", "played by the codec machine"),
+    ("protocol/buffer.py", "", "large buffers: tests/test_router.py"),
     (
-        "stages/admit.py",
+        "proxy/admission.py",
         "",
         "a whole core is never overdrawn by waiting in the scopes; the load day plays it",
     ),
--- a/stonecove/explore/results.py
+++ b/edge_router/model_checker/results.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from stonecove.explore.machine import Machine, Violation
+from edge_router.model_checker.machine import Machine, Violation
 
 Steps = tuple[str, ...]
 MachineFactory = Callable[[], Machine]
--- a/stonecove/explore/scope.py
+++ b/edge_router/model_checker/scope.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from stonecove.interface import ClassSettings, Effect, KeyGroup, Settings
+from edge_router.decision.settings import ClassSettings, Effect, KeyGroup, Settings
 
 # Times are short, so that few alarms fall between a request and its end: only their order matters.
 DEADLINE = 400.0  # milliseconds
--- a/stonecove/explore/search.py
+++ b/edge_router/model_checker/search.py
@@ -17,11 +17,11 @@
 
 import numpy as np
 
-from stonecove.explore.expander import Entry, Expander, Expansion, Setup, WorkerPool
-from stonecove.explore.fingerprint import fingerprint
-from stonecove.explore.frontier import Frontier
-from stonecove.explore.results import Found, MachineFactory, Result
-from stonecove.explore.visited import FingerprintSet, PlainSet
+from edge_router.model_checker.expander import Entry, Expander, Expansion, Setup, WorkerPool
+from edge_router.model_checker.fingerprint import fingerprint
+from edge_router.model_checker.frontier import Frontier
+from edge_router.model_checker.results import Found, MachineFactory, Result
+from edge_router.model_checker.visited import FingerprintSet, PlainSet
 
 Progress = Callable[[Result, int], None]  # called after each level with the length of the next
 
--- a/stonecove/explore/trace.py
+++ b/edge_router/model_checker/trace.py
@@ -7,13 +7,13 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from stonecove.explore import mutations
-from stonecove.explore.machine import Machine, Violation
-from stonecove.explore.model.harness import START
-from stonecove.explore.model.router_model import RouterModel
-from stonecove.explore.properties import PROPERTIES
-from stonecove.explore.scope import ANSWERS, Scope
-from stonecove.explore.results import SETTLE, MachineFactory, Steps
+from edge_router.model_checker import mutations
+from edge_router.model_checker.machine import Machine, Violation
+from edge_router.model_checker.model.harness import START
+from edge_router.model_checker.model.router_model import RouterModel
+from edge_router.model_checker.properties import PROPERTIES
+from edge_router.model_checker.results import SETTLE, MachineFactory, Steps
+from edge_router.model_checker.scope import ANSWERS, Scope
 
 FORMAT = 1
 _DESCRIPTIONS = {
--- a/stonecove/explore/walk.py
+++ b/edge_router/model_checker/walk.py
@@ -5,8 +5,8 @@
 import random
 from dataclasses import dataclass, field
 
-from stonecove.explore.scope import ALL_FAULTS, NORMAL_ANSWERS
-from stonecove.explore.results import SETTLE, Found, MachineFactory
+from edge_router.model_checker.results import SETTLE, Found, MachineFactory
+from edge_router.model_checker.scope import ALL_FAULTS, NORMAL_ANSWERS
 
 # How likely a step is to be taken, by its first word; faults are rare, so that much happens between them.
 WEIGHTS = {
--- /dev/null
+++ b/edge_router/protocol/__init__.py
@@ -0,0 +1,1 @@
+"""Codecs: bytes to messages and back, without I/O."""
--- a/stonecove/wire/fastcgi.py
+++ b/edge_router/protocol/fastcgi.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from stonecove.memory.budget import Budget
-from stonecove.wire.buffer import Buffer
+from edge_router.protocol.buffer import Buffer
+from edge_router.runtime.memory_budget import Budget
 
 BEGIN, ABORT, END, PARAMS, STDIN, STDOUT, STDERR, DATA, GET_VALUES, GET_VALUES_RESULT, UNKNOWN = range(1, 12)
 COMPLETE, CANT_MPX, OVERLOADED, UNKNOWN_ROLE = range(4)
--- a/stonecove/wire/resp.py
+++ b/edge_router/protocol/resp.py
@@ -5,7 +5,7 @@
 import re
 from collections.abc import Iterator, Sequence
 
-from stonecove.wire.buffer import Buffer
+from edge_router.protocol.buffer import Buffer
 
 MOST_ITEMS = 16
 MOST_BULK = 1 << 18
--- /dev/null
+++ b/edge_router/proxy/__init__.py
@@ -0,0 +1,1 @@
+"""The way of a request: parsing, admission, routing, dispatch, response handling and accounting."""
--- a/stonecove/stages/book.py
+++ b/edge_router/proxy/accounting.py
@@ -5,12 +5,13 @@
 from collections import Counter
 from collections.abc import Callable
 
-from stonecove.interface import Ended, Event, Note, Outcome, Settings
-from stonecove.ground.clock import Clock
-from stonecove.ground.log import log, log_some
-from stonecove.memory.requests import Attempt, OpenRequest
-from stonecove.stages.admit import Admit
-from stonecove.stages.rule_check import RuleCheck
+from edge_router.decision.messages import Ended, Event, Note, Outcome
+from edge_router.decision.settings import Settings
+from edge_router.proxy.admission import Admit
+from edge_router.proxy.invariants import RuleCheck
+from edge_router.proxy.request_table import Attempt, OpenRequest
+from edge_router.runtime.clock import Clock
+from edge_router.runtime.event_log import log, log_some
 
 TOLD = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.TIMEOUT, Outcome.RESET, Outcome.ERROR)
 
--- a/stonecove/stages/admit.py
+++ b/edge_router/proxy/admission.py
@@ -4,11 +4,11 @@
 
 import random
 
-from stonecove.interface import Settings
-from stonecove.ground.clock import CpuCredit
-from stonecove.memory.budget import Budget
-from stonecove.memory.requests import OpenRequest, OpenRequests
-from stonecove.exchange import Asked
+from edge_router.decision.settings import Settings
+from edge_router.proxy.exchange import Asked
+from edge_router.proxy.request_table import OpenRequest, OpenRequests
+from edge_router.runtime.clock import CpuCredit
+from edge_router.runtime.memory_budget import Budget
 
 MARGIN = 15.0  # ms before the client's own limit at which the answer is due: it has to get there
 MOST_OPEN = 4096
--- a/stonecove/stages/send.py
+++ b/edge_router/proxy/dispatch.py
@@ -7,17 +7,18 @@
 from collections.abc import Callable
 from functools import partial
 
-from stonecove import rules
-from stonecove.interface import Get, How, NodeId, Outcome, Settings
-from stonecove.ground.clock import Clock
-from stonecove.ground.timers import Timers
-from stonecove.ground.log import log_some
-from stonecove.memory.nodes import NodeTable
-from stonecove.memory.requests import Attempt
-from stonecove.stages.book import Book
-from stonecove.stages.relay import Relay, Reply
-from stonecove.wire import resp
-from stonecove.wire.channel import Channel, Owner
+from edge_router.decision import rules
+from edge_router.decision.messages import Get, How, NodeId, Outcome
+from edge_router.decision.settings import Settings
+from edge_router.discovery.endpoint_table import NodeTable
+from edge_router.protocol import resp
+from edge_router.proxy.accounting import Book
+from edge_router.proxy.request_table import Attempt
+from edge_router.proxy.response_handler import Relay, Reply
+from edge_router.runtime.clock import Clock
+from edge_router.runtime.event_log import log_some
+from edge_router.runtime.timers import Timers
+from edge_router.transport.upstream_channel import Channel, Owner
 
 IDLE_PART = 0.6  # a connection idle for this part of the allowed time is closed before the cache does it
 SILENT = 3.0  # connect time-outs without a byte, though some are owed, after which a connection gets no more
--- a/stonecove/wire/front.py
+++ b/edge_router/proxy/fastcgi_frontend.py
@@ -4,14 +4,14 @@
 
 from functools import lru_cache, partial
 
-from stonecove.interface import Settings
-from stonecove.ground.log import log_some
-from stonecove.memory.requests import OpenRequest
-from stonecove.stages.intake import Intake
-from stonecove.stages.route import Route
-from stonecove.exchange import Answer, BadRequestError, Verdict
-from stonecove.wire.fastcgi import COMPLETE
-from stonecove.wire.session import Session
+from edge_router.decision.settings import Settings
+from edge_router.protocol.fastcgi import COMPLETE
+from edge_router.proxy.exchange import Answer, BadRequestError, Verdict
+from edge_router.proxy.request_parser import Intake
+from edge_router.proxy.request_router import Route
+from edge_router.proxy.request_table import OpenRequest
+from edge_router.runtime.event_log import log_some
+from edge_router.transport.client_session import Session
 
 READY_PATH = "/status/live"
 _LINES = {
--- a/stonecove/stages/rule_check.py
+++ b/edge_router/proxy/invariants.py
@@ -8,11 +8,11 @@
 
 from collections import Counter
 
-from stonecove import rules
-from stonecove.exchange import Verdict
-from stonecove.ground.log import log_some
-from stonecove.interface import ClassSettings, Effect, Settings
-from stonecove.memory.requests import Attempt, OpenRequest
+from edge_router.decision import rules
+from edge_router.decision.settings import ClassSettings, Effect, Settings
+from edge_router.proxy.exchange import Verdict
+from edge_router.proxy.request_table import Attempt, OpenRequest
+from edge_router.runtime.event_log import log_some
 
 LATEST_ANSWER = 500.0  # ms after a client's time; an answer after that is a lost request
 LIMIT_TOLERANCE = 1.0  # ms
--- a/stonecove/stages/intake.py
+++ b/edge_router/proxy/request_parser.py
@@ -5,8 +5,8 @@
 import re
 from collections.abc import Callable, Mapping
 
-from stonecove.interface import Effect, Settings
-from stonecove.exchange import Answer, Asked, BadRequestError
+from edge_router.decision.settings import Effect, Settings
+from edge_router.proxy.exchange import Answer, Asked, BadRequestError
 
 PATH = "/svc/"
 MOST_PART = 65_535
--- a/stonecove/stages/route.py
+++ b/edge_router/proxy/request_router.py
@@ -8,9 +8,8 @@
 from functools import partial
 from typing import Any
 
-from stonecove import rules
-from stonecove.choice import PURGE_MARGIN, Director
-from stonecove.interface import (
+from edge_router.decision import rules
+from edge_router.decision.messages import (
     Cancel,
     Due,
     Event,
@@ -25,23 +24,24 @@
     Purged,
     Refuse,
     Request,
-    Settings,
     Timer,
 )
-from stonecove.ground.clock import Clock
-from stonecove.ground.peer_time import PeerTime
-from stonecove.ground.timers import Timers, nobody
-from stonecove.ground.log import log, log_some
-from stonecove.membership import MembersTold, PurgeTold, Told
-from stonecove.memory.budget import Budget
-from stonecove.memory.nodes import NodeTable
-from stonecove.memory.purges import ToldPurges
-from stonecove.memory.requests import Attempt, OpenRequest, OpenRequests
-from stonecove.stages.admit import Admit
-from stonecove.stages.book import Book
-from stonecove.stages.relay import Relay
-from stonecove.stages.send import Connect, Send
-from stonecove.exchange import Answer, Asked, Verdict
+from edge_router.decision.policy import PURGE_MARGIN, Director
+from edge_router.decision.settings import Settings
+from edge_router.discovery.endpoint_table import NodeTable
+from edge_router.discovery.events import MembersTold, PurgeTold, Told
+from edge_router.discovery.purge_history import ToldPurges
+from edge_router.proxy.accounting import Book
+from edge_router.proxy.admission import Admit
+from edge_router.proxy.dispatch import Connect, Send
+from edge_router.proxy.exchange import Answer, Asked, Verdict
+from edge_router.proxy.request_table import Attempt, OpenRequest, OpenRequests
+from edge_router.proxy.response_handler import Relay
+from edge_router.runtime.clock import Clock
+from edge_router.runtime.event_log import log, log_some
+from edge_router.runtime.memory_budget import Budget
+from edge_router.runtime.peer_clock import PeerTime
+from edge_router.runtime.timers import Timers, nobody
 
 BATCH = 8  # requests that are decided between two looks at the sockets
 SAID_FOR = 1000.0  # ms within which the module's words are not repeated
--- a/stonecove/memory/requests.py
+++ b/edge_router/proxy/request_table.py
@@ -5,10 +5,10 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from stonecove.interface import Get, Outcome
-from stonecove.rules import PROVES_NOT_RUN
-from stonecove.ground.timers import Alarm
-from stonecove.exchange import Asked
+from edge_router.decision.messages import Get, Outcome
+from edge_router.decision.rules import PROVES_NOT_RUN
+from edge_router.proxy.exchange import Asked
+from edge_router.runtime.timers import Alarm
 
 
 @dataclass(slots=True, eq=False)
--- a/stonecove/stages/relay.py
+++ b/edge_router/proxy/response_handler.py
@@ -5,14 +5,15 @@
 import re
 from typing import NamedTuple
 
-from stonecove.interface import ClassSettings, Note, Outcome, Settings
-from stonecove.ground.clock import Clock
-from stonecove.ground.log import log_some
-from stonecove.ground.peer_time import PeerTime
-from stonecove.memory.purges import ToldPurges
-from stonecove.memory.requests import Attempt, OpenRequest
-from stonecove.stages.book import Book
-from stonecove.exchange import Answer, Verdict
+from edge_router.decision.messages import Note, Outcome
+from edge_router.decision.settings import ClassSettings, Settings
+from edge_router.discovery.purge_history import ToldPurges
+from edge_router.proxy.accounting import Book
+from edge_router.proxy.exchange import Answer, Verdict
+from edge_router.proxy.request_table import Attempt, OpenRequest
+from edge_router.runtime.clock import Clock
+from edge_router.runtime.event_log import log_some
+from edge_router.runtime.peer_clock import PeerTime
 
 SLACK = 50.0  # ms by which a copy may seem older than was asked for
 
--- a/stonecove/ground/log.py
+++ b/edge_router/runtime/event_log.py
@@ -8,7 +8,6 @@
 import time
 from collections.abc import Callable
 
-
 Sink = Callable[[str, dict[str, object]], None]
 
 MOST_A_SECOND = 5  # lines of one event that peers can bring about as often as they like
--- a/stonecove/ground/peer_time.py
+++ b/edge_router/runtime/peer_clock.py
@@ -13,11 +13,10 @@
 from __future__ import annotations
 
 from collections import deque
-
 from typing import NamedTuple
 
-from stonecove.ground.clock import Clock
-from stonecove.ground.log import log
+from edge_router.runtime.clock import Clock
+from edge_router.runtime.event_log import log
 
 TOLERANCE = 50.0  # ms by which moments of two machines may differ; the page's slack for time limits
 LONGEST_FILL = 10_000.0  # ms by which a copy may be older than its attempt without any clock being off
--- a/stonecove/ground/timers.py
+++ b/edge_router/runtime/timers.py
@@ -6,9 +6,8 @@
 import math
 from collections.abc import Callable
 
-from stonecove.ground.clock import Clock
-from stonecove.ground.log import log
-
+from edge_router.runtime.clock import Clock
+from edge_router.runtime.event_log import log
 
 LATE = 0.02  # seconds by which an alarm is late if the process stood still; the loop's own grid is finer
 STILL_UNREAD = 0.2  # seconds after the process stood still for which what is read may have come meanwhile
--- /dev/null
+++ b/edge_router/server/__init__.py
@@ -0,0 +1,1 @@
+"""The process: startup, accepting clients, statistics and graceful shutdown."""
--- a/stonecove/lifecycle/serve.py
+++ b/edge_router/server/server.py
@@ -14,24 +14,24 @@
 
 import trio
 
-from stonecove.ground.clock import Clock
-from stonecove.ground.timers import Timers
-from stonecove.ground.log import log, log_some
-from stonecove.ground.system_errors import NO_ROOM, is_local
-from stonecove.lifecycle.config import Config, ConfigError
-from stonecove.lifecycle.memory_gauge import MemoryGauge
-from stonecove.lifecycle.reload import Reloader
-from stonecove.lifecycle.startup import load_config, open_listener, patiently
-from stonecove.lifecycle.supervisor import keep_running
-from stonecove.memory.budget import Budget
-from stonecove.stages.route import Route
-from stonecove.stages.send import connection_limit
-from stonecove.wire.channel import Owner
-from stonecove.wire.client import Connection as Client
-from stonecove.wire.connection import Connection
-from stonecove.wire.follow import ChangeLog
-from stonecove.wire.front import Front
-from stonecove.wire.unread import age_at_accept
+from edge_router.config.platform_file import Config, ConfigError
+from edge_router.config.reload import Reloader
+from edge_router.discovery.change_log_watcher import ChangeLog
+from edge_router.proxy.dispatch import connection_limit
+from edge_router.proxy.fastcgi_frontend import Front
+from edge_router.proxy.request_router import Route
+from edge_router.runtime.clock import Clock
+from edge_router.runtime.event_log import log, log_some
+from edge_router.runtime.memory_budget import Budget
+from edge_router.runtime.system_errors import NO_ROOM, is_local
+from edge_router.runtime.timers import Timers
+from edge_router.server.memory_gauge import MemoryGauge
+from edge_router.server.startup import load_config, open_listener, patiently
+from edge_router.server.supervisor import keep_running
+from edge_router.transport.client_connection import Connection as Client
+from edge_router.transport.receive_age import age_at_accept
+from edge_router.transport.upstream_channel import Owner
+from edge_router.transport.upstream_connection import Connection
 
 GRID = 0.005  # seconds: alarms fall due in steps, for each waking costs as much as many calls
 GRACE = 0.8  # seconds after SIGTERM for which new connections and requests still come
@@ -382,13 +382,13 @@
     try:
         config = load_config()
     except ConfigError as error:
-        print(f"stonecove: {error}", file=sys.stderr)
+        print(f"edge-router: {error}", file=sys.stderr)
         return 2
     try:
         listener = open_listener(config.listen)
     except OSError as error:
         print(
-            f"stonecove: can't listen on {config.listen[0]}:{config.listen[1]}: {error.strerror}",
+            f"edge-router: can't listen on {config.listen[0]}:{config.listen[1]}: {error.strerror}",
             file=sys.stderr,
         )
         return 2
--- a/stonecove/lifecycle/startup.py
+++ b/edge_router/server/startup.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable
 from typing import TypeVar
 
-from stonecove.ground.log import log
-from stonecove.ground.system_errors import is_local
-from stonecove.lifecycle.config import Config, ConfigUnreadableError, read_config
+from edge_router.config.platform_file import Config, ConfigUnreadableError, read_config
+from edge_router.runtime.event_log import log
+from edge_router.runtime.system_errors import is_local
 
 PATIENCE = 5.0  # seconds for which a step is tried again; the platform waits 30 s for a router to be ready
 PAUSE = 0.05
--- a/stonecove/lifecycle/supervisor.py
+++ b/edge_router/server/supervisor.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from stonecove.ground.log import log_some
+from edge_router.runtime.event_log import log_some
 
 RESTART_AFTER = 0.05  # seconds
 
--- a/stonecove/benchlink.py
+++ b/edge_router/simulator_adapter.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable
 from typing import Any, BinaryIO
 
-from stonecove import interface as i
-from stonecove.choice import Director
-from stonecove.settings import read_settings
+from edge_router.config.settings_reader import read_settings
+from edge_router.decision import messages as i
+from edge_router.decision.policy import Director
 
 _HEAD = struct.Struct(">dII")
 _REPLY = struct.Struct(">II")
@@ -241,7 +241,7 @@
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
-        print(f"stonecove: malformed input: {error}", file=sys.stderr)
+        print(f"edge-router: malformed input: {error}", file=sys.stderr)
         return 2
     return 0
 
--- /dev/null
+++ b/edge_router/transport/__init__.py
@@ -0,0 +1,1 @@
+"""Client sessions and upstream connections: state machines without I/O, and trio around them."""
--- a/stonecove/wire/client.py
+++ b/edge_router/transport/client_connection.py
@@ -8,13 +8,13 @@
 
 import trio
 
-from stonecove.ground.system_errors import is_local
-from stonecove.ground.timers import STILL_UNREAD
-from stonecove.memory.budget import Budget
-from stonecove.wire.buffer import BufferFullError
-from stonecove.wire.fastcgi import FastCgiError
-from stonecove.wire.session import GULP, Handler, Session
-from stonecove.wire.unread import last_received_ago
+from edge_router.protocol.buffer import BufferFullError
+from edge_router.protocol.fastcgi import FastCgiError
+from edge_router.runtime.memory_budget import Budget
+from edge_router.runtime.system_errors import is_local
+from edge_router.runtime.timers import STILL_UNREAD
+from edge_router.transport.client_session import GULP, Handler, Session
+from edge_router.transport.receive_age import last_received_ago
 
 LINGER = 1.0, 1 << 20  # seconds and bytes for which a client that we leave may go on sending
 STALL = 10.0  # seconds for which a client may take in nothing
--- a/stonecove/wire/session.py
+++ b/edge_router/transport/client_session.py
@@ -11,11 +11,19 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from stonecove.ground.system_errors import is_local
-from stonecove.memory.budget import Budget
-from stonecove.wire.buffer import Buffer
-from stonecove.wire.channel import Socket
-from stonecove.wire.fastcgi import COMPLETE, OVERLOADED, Aborted, Arrived, Decoder, answer_records, end_record
+from edge_router.protocol.buffer import Buffer
+from edge_router.protocol.fastcgi import (
+    COMPLETE,
+    OVERLOADED,
+    Aborted,
+    Arrived,
+    Decoder,
+    answer_records,
+    end_record,
+)
+from edge_router.runtime.memory_budget import Budget
+from edge_router.runtime.system_errors import is_local
+from edge_router.transport.upstream_channel import Socket
 
 MOST_UNREAD = 2 * (65_536 + 256 + 8)
 MOST_OWED = 1000  # protocol records that wait to be written
--- a/stonecove/wire/channel.py
+++ b/edge_router/transport/upstream_channel.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from stonecove.ground.system_errors import is_local
-from stonecove.wire.buffer import Buffer
-from stonecove.wire.resp import MOST_BULK, Decoder
+from edge_router.protocol.buffer import Buffer
+from edge_router.protocol.resp import MOST_BULK, Decoder
+from edge_router.runtime.system_errors import is_local
 
 
 class Socket(Protocol):
--- a/stonecove/wire/connection.py
+++ b/edge_router/transport/upstream_connection.py
@@ -7,11 +7,10 @@
 
 import trio
 
-from stonecove.ground.system_errors import is_local
-from stonecove.wire.buffer import BufferFullError
-from stonecove.wire.channel import Channel, Owner
-from stonecove.wire.resp import RespError
-
+from edge_router.protocol.buffer import BufferFullError
+from edge_router.protocol.resp import RespError
+from edge_router.runtime.system_errors import is_local
+from edge_router.transport.upstream_channel import Channel, Owner
 
 PAUSE = 0.01  # seconds between two tries where our own system lacked something
 
--- a/examples/ask.py
+++ b/examples/ask.py
@@ -10,7 +10,7 @@
 import struct
 import sys
 
-from stonecove.wire import fastcgi
+from edge_router.protocol import fastcgi
 
 
 def pair(name: str, value: str) -> bytes:
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -19,8 +19,8 @@
 import trio
 import ujson
 
-from stonecove.wire import resp
-from stonecove.wire.buffer import Buffer
+from edge_router.protocol import resp
+from edge_router.protocol.buffer import Buffer
 
 RECORD = struct.Struct(">IIHBBBHIQ")
 
--- a/stonecove/ground/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""The ground floor that everybody stands on: the clock, the timers and the log. Nothing here waits."""
--- a/stonecove/standins/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Stand-ins for the outside systems, written from their published protocols. Loopback only."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,23 +10,20 @@
 import pytest
 from router_harness import SETTINGS, RouterHarness
 
-from stonecove.choice import Director
-from stonecove.interface import (
+from edge_router.decision.messages import (
     Action,
-    ClassSettings,
-    Effect,
     Ended,
     Event,
     Get,
-    KeyGroup,
     Listed,
     ListKind,
     Node,
     NodeState,
     Outcome,
     Request,
-    Settings,
 )
+from edge_router.decision.policy import Director
+from edge_router.decision.settings import ClassSettings, Effect, KeyGroup, Settings
 
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
 MOST_KNOWN_RED = 3
--- a/tests/router_harness.py
+++ b/tests/router_harness.py
@@ -20,7 +20,7 @@
 from tcp_endpoints import free_address
 from waiting import TEST_TIMEOUT, wait_until
 
-from stonecove.soak.plan import PLAN_VARIABLE, Fault, FaultPlan
+from edge_router.fault_injection.plan import PLAN_VARIABLE, Fault, FaultPlan
 
 SETTINGS: dict[str, Any] = {
     "areas": ["hub", "edge-1"],
@@ -104,9 +104,9 @@
             "settings": {**SETTINGS, **settings},
         }
         self._descriptors, self._env = descriptors, env or {}
-        self._module = "stonecove"
+        self._module = "edge_router"
         if faults:
-            self._module = "stonecove.soak.shim"
+            self._module = "edge_router.fault_injection.shim"
             self._env[PLAN_VARIABLE] = FaultPlan(list(faults)).to_json()
         self.process = self.start()
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -6,10 +6,10 @@
 from router_harness import SETTINGS, RouterHarness
 from socket_requests import is_rejection
 
-from stonecove.memory.budget import Budget
-from stonecove.memory.requests import OpenRequests
-from stonecove.settings import settings_from
-from stonecove.stages.admit import Admit
+from edge_router.config.settings_reader import settings_from
+from edge_router.proxy.admission import Admit
+from edge_router.proxy.request_table import OpenRequests
+from edge_router.runtime.memory_budget import Budget
 
 
 def test_idle_clients_are_evicted_and_busy_ones_stay() -> None:
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -10,10 +10,10 @@
 
 import pytest
 
-from stonecove import benchlink
-from stonecove import interface as i
-from stonecove.benchlink import Link, WireError, serve
-from stonecove.settings import read_settings
+from edge_router import simulator_adapter
+from edge_router.config.settings_reader import read_settings
+from edge_router.decision import messages as i
+from edge_router.simulator_adapter import Link, WireError, serve
 
 SETTINGS = {
     "zone": 0,
@@ -111,7 +111,7 @@
         (i.Log("hi"), (50, 3, 2, b"hi"), ">BIH2s"),
     ]
     for action, fields, form in expected:
-        assert struct.unpack(form, benchlink._WRITERS[type(action)](3, action)) == fields
+        assert struct.unpack(form, simulator_adapter._WRITERS[type(action)](3, action)) == fields
 
 
 def test_exception_becomes_a_bug_report(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -142,7 +142,9 @@
     ],
 )
 def test_malformed_frames_are_rejected(data: bytes) -> None:
-    done = subprocess.run([sys.executable, "-m", "stonecove.benchlink"], input=data, capture_output=True)
+    done = subprocess.run(
+        [sys.executable, "-m", "edge_router.simulator_adapter"], input=data, capture_output=True
+    )
     if done.returncode == 0:
         pytest.fail("accepted")
     assert b"malformed input" in done.stderr and b"Traceback" not in done.stderr
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -123,10 +123,10 @@
     if text is not None:
         path.write_text(text)
     done = subprocess.run(
-        [sys.executable, "-m", "stonecove"],
+        [sys.executable, "-m", "edge_router"],
         env={"RELAY_CONFIG": str(path)},
         capture_output=True,
         text=True,
         timeout=TEST_TIMEOUT,
     )
-    assert done.returncode == 2 and done.stderr.startswith("stonecove: ") and done.stderr.count("\n") == 1
+    assert done.returncode == 2 and done.stderr.startswith("edge-router: ") and done.stderr.count("\n") == 1
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -14,46 +14,43 @@
 from pathlib import Path
 
 import pytest
-from stonecove.explore import mutation_run, mutations, scope, search
-from stonecove.explore.copying import DeepCopy, Pickle, Replay, StateCopier, run
-from stonecove.explore.fingerprint import all_parts, check_fields
-from stonecove.explore.frontier import Frontier, SavedFrontierError
-from stonecove.explore.machine import Violation
-from stonecove.explore.model.router_model import RouterModel
-from stonecove.explore.properties import PROPERTIES
-from stonecove.explore.reach import HARD_CASES, HARD_STEPS
-from stonecove.explore.expander import Entry, WorkerPool
-from stonecove.explore.results import Found, Result
-from stonecove.explore.search import Options
-from stonecove.explore.trace import Trace, shrink, model_factory
-from stonecove.explore.visited import FingerprintSet, PlainSet
+
+from edge_router.model_checker import mutation_run, mutations, scope, search
+from edge_router.model_checker.copying import DeepCopy, Pickle, Replay, StateCopier, run
+from edge_router.model_checker.expander import Entry, WorkerPool
+from edge_router.model_checker.fingerprint import all_parts, check_fields
+from edge_router.model_checker.frontier import Frontier, SavedFrontierError
+from edge_router.model_checker.machine import Violation
+from edge_router.model_checker.model.router_model import RouterModel
+from edge_router.model_checker.properties import PROPERTIES
+from edge_router.model_checker.reach import HARD_CASES, HARD_STEPS
+from edge_router.model_checker.results import Found, Result
+from edge_router.model_checker.search import Options
+from edge_router.model_checker.trace import Trace, model_factory, shrink
+from edge_router.model_checker.visited import FingerprintSet, PlainSet
 
 ROOT = Path(__file__).parent.parent
 TRACES = sorted((Path(__file__).parent / "traces").glob("*.json"))
-FLOORS = {
+# Each package may import from its own level and the levels below.
+LEVELS = {
+    "runtime": 0,
+    "decision": 1,
+    "protocol": 2,
+    "discovery": 3,
+    "transport": 3,
+    "config": 4,
+    "proxy": 5,
+    "server": 6,
+    "model_checker": 7,
+    "fault_injection": 7,
+    "cli": 8,
     "": 0,
-    "interface": 0,
-    "rules": 0,
-    "ground": 0,
-    "exchange": 1,
-    "settings": 1,
-    "choice": 1,
-    "membership": 1,
-    "wire": 2,
-    "memory": 2,
-    "stages": 3,
-    "wire.front": 4,
-    "lifecycle": 5,
-    "explore": 6,
-    "soak": 6,
-    "standins": 6,
-    "commands": 7,
 }
 
 
-def stonecove(*arguments: str, limit: float = 3000.0) -> subprocess.CompletedProcess[str]:
+def edge_router(*arguments: str, limit: float = 3000.0) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "stonecove", *arguments],
+        [sys.executable, "-m", "edge_router", *arguments],
         capture_output=True,
         text=True,
         timeout=limit,
@@ -79,35 +76,34 @@
 # -- the seams --
 
 
-def floor_of(module: str) -> int:
-    """The floor of a module of ours; the front stands above the stages that it joins to the wire."""
-    name = module.removeprefix("stonecove").removeprefix(".")
-    return FLOORS["wire.front"] if name == "wire.front" else FLOORS[name.partition(".")[0]]
+def level_of(module: str) -> int:
+    """The level of one of the product's modules."""
+    return LEVELS[module.removeprefix("edge_router").removeprefix(".").partition(".")[0]]
 
 
 def test_imports_go_down_only() -> None:
-    for path in (ROOT / "stonecove").rglob("*.py"):
+    for path in (ROOT / "edge_router").rglob("*.py"):
         module = ".".join(path.relative_to(ROOT).with_suffix("").parts).removesuffix(".__init__")
-        if module in ("stonecove.__main__", "stonecove.benchlink"):
+        if module in ("edge_router.__main__", "edge_router.simulator_adapter"):
             continue
         for node in ast.walk(ast.parse(path.read_text())):
-            if isinstance(node, ast.ImportFrom) and node.module and node.module.startswith("stonecove"):
+            if isinstance(node, ast.ImportFrom) and node.module and node.module.startswith("edge_router"):
                 for name in node.names:
                     whole = f"{node.module}.{name.name}"
                     target = whole if (ROOT / (whole.replace(".", "/") + ".py")).exists() else node.module
-                    assert floor_of(target) <= floor_of(module), f"{module} imports {target}"
+                    assert level_of(target) <= level_of(module), f"{module} imports {target}"
 
 
 @pytest.mark.parametrize(
     ("module", "absent"),
     [
-        ("stonecove.stages.route", ("trio",)),
-        ("stonecove.wire.channel", ("trio",)),
-        ("stonecove.wire.session", ("trio",)),
-        ("stonecove.explore.model.router_model", ("trio",)),
+        ("edge_router.proxy.request_router", ("trio",)),
+        ("edge_router.transport.upstream_channel", ("trio",)),
+        ("edge_router.transport.client_session", ("trio",)),
+        ("edge_router.model_checker.model.router_model", ("trio",)),
         (
-            "stonecove.lifecycle.serve",
-            ("click", "rich", "numpy", "xxhash", "stonecove.explore", "stonecove.commands"),
+            "edge_router.server.server",
+            ("click", "rich", "numpy", "xxhash", "edge_router.model_checker", "edge_router.cli"),
         ),
     ],
 )
@@ -195,10 +191,10 @@
 
 def test_a_long_run_goes_on_after_a_kill(tmp_path: Path) -> None:
     words = ("explore", "run", "--scope", "purge", "--depth", "7", "--processes", "2")
-    whole = stonecove(*words)
+    whole = edge_router(*words)
     save = tmp_path / "front"
     killed = subprocess.Popen(
-        [sys.executable, "-m", "stonecove", *words, "--save", str(save), "--save-every", "0"],
+        [sys.executable, "-m", "edge_router", *words, "--save", str(save), "--save-every", "0"],
         stdout=subprocess.DEVNULL,
         start_new_session=True,
     )
@@ -207,14 +203,14 @@
         time.sleep(0.01)
     os.killpg(killed.pid, signal.SIGKILL)
     killed.wait()
-    again = stonecove(*words, "--save", str(save))
+    again = edge_router(*words, "--save", str(save))
     counts = [
         re.search(r"states=\d+ transitions=\d+ depth=\d+ violations=0", one.stdout) for one in (whole, again)
     ]
     assert counts[0] and counts[1] and counts[0][0] == counts[1][0]
     saved = Path(f"{save}.purge")
     saved.write_bytes(saved.read_bytes()[:-3])
-    torn = stonecove(*words, "--save", str(save))
+    torn = edge_router(*words, "--save", str(save))
     assert torn.returncode == 2 and "is torn" in torn.stderr
 
 
@@ -247,7 +243,7 @@
 
 
 def test_the_small_scope_holds() -> None:
-    done = stonecove("explore", "run", "--scope", "small")
+    done = edge_router("explore", "run", "--scope", "small")
     assert done.returncode == 0, done.stdout + done.stderr
     assert re.fullmatch(
         r"scope=small states=\d+ transitions=\d+ depth=\d+ violations=0 seconds=[\d.]+ "
@@ -327,7 +323,7 @@
         path.write_text(trace.to_json())
     finally:
         mutations.plant("")
-    done = stonecove("explore", "replay", str(path), "--chart", str(tmp_path / "chart.svg"))
+    done = edge_router("explore", "replay", str(path), "--chart", str(tmp_path / "chart.svg"))
     assert done.returncode == 1 and "broken: run-is-run" in done.stdout, done.stderr
     assert "<svg" in (tmp_path / "chart.svg").read_text()
 
@@ -344,11 +340,11 @@
     ],
 )
 def test_arguments_that_cannot_be_used_end_with_2(arguments: tuple[str, ...]) -> None:
-    done = stonecove(*arguments)
+    done = edge_router(*arguments)
     assert done.returncode == 2 and done.stderr and "Traceback" not in done.stderr
 
 
 def test_the_demonstration_ends_well() -> None:
-    done = stonecove("demo", "--requests", "80")
+    done = edge_router("demo", "--requests", "80")
     assert done.returncode == 0, done.stdout + done.stderr
     assert "80 requests, 80 final answers, 0 pick-confirms run twice" in done.stdout
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -10,15 +10,15 @@
 from conftest import CACHES, PolicyHarness
 from router_harness import SETTINGS
 
-from stonecove.exchange import Answer, Asked, Verdict
-from stonecove.ground.clock import Clock
-from stonecove.ground.timers import Timers
-from stonecove.interface import ListKind, Node, NodeState
-from stonecove.membership import Member, MembersTold
-from stonecove.memory.budget import Budget
-from stonecove.settings import settings_from
-from stonecove.stages.route import Route
-from stonecove.wire.channel import Channel, Owner
+from edge_router.config.settings_reader import settings_from
+from edge_router.decision.messages import ListKind, Node, NodeState
+from edge_router.discovery.events import Member, MembersTold
+from edge_router.proxy.exchange import Answer, Asked, Verdict
+from edge_router.proxy.request_router import Route
+from edge_router.runtime.clock import Clock
+from edge_router.runtime.memory_budget import Budget
+from edge_router.runtime.timers import Timers
+from edge_router.transport.upstream_channel import Channel, Owner
 
 
 @pytest.fixture(autouse=True)
--- a/tests/test_peer_time.py
+++ b/tests/test_peer_time.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from stonecove.ground.clock import Clock
-from stonecove.ground.log import divert
-from stonecove.ground.peer_time import PeerTime
+from edge_router.runtime.clock import Clock
+from edge_router.runtime.event_log import divert
+from edge_router.runtime.peer_clock import PeerTime
 
 START = 1_000_000.0  # Unix seconds
 
--- a/tests/test_policy_load.py
+++ b/tests/test_policy_load.py
@@ -7,8 +7,8 @@
 import pytest
 from conftest import ORIGIN, PARENTS, PolicyHarness, make_endpoints, make_settings, started_attempts
 
-from stonecove.choice import Load
-from stonecove.interface import Ended, Get, How, Note, Outcome, Refuse
+from edge_router.decision.messages import Ended, Get, How, Note, Outcome, Refuse
+from edge_router.decision.policy import Load
 
 
 def test_overloaded_cache_is_skipped_in_hash_order(policy: PolicyHarness) -> None:
--- a/tests/test_policy_outliers.py
+++ b/tests/test_policy_outliers.py
@@ -5,7 +5,7 @@
 import pytest
 from conftest import PolicyHarness, started_attempts
 
-from stonecove.interface import Due, Listed, ListKind, Note, Outcome
+from edge_router.decision.messages import Due, Listed, ListKind, Note, Outcome
 
 
 def test_failed_cache_is_ejected_and_tried_again_sparingly(policy: PolicyHarness) -> None:
--- a/tests/test_policy_placement.py
+++ b/tests/test_policy_placement.py
@@ -15,8 +15,8 @@
     started_attempts,
 )
 
-from stonecove.choice import Ring
-from stonecove.interface import Listed, ListKind, Node, NodeState, Note, Outcome
+from edge_router.decision.messages import Listed, ListKind, Node, NodeState, Note, Outcome
+from edge_router.decision.policy import Ring
 
 
 def make_caches(count: int, weight: float = 1.0) -> list[Node]:
--- a/tests/test_policy_popularity.py
+++ b/tests/test_policy_popularity.py
@@ -4,8 +4,8 @@
 
 from conftest import make_settings
 
-from stonecove.choice import FRESH_FOR, HALF_LIFE, TABLE_MOST, Director, Popularity
-from stonecove.interface import Request
+from edge_router.decision.messages import Request
+from edge_router.decision.policy import FRESH_FOR, HALF_LIFE, TABLE_MOST, Director, Popularity
 
 
 def record_mixed_requests(popularity: Popularity, requests: int = 3000, once: int = 7) -> None:
--- a/tests/test_policy_retries.py
+++ b/tests/test_policy_retries.py
@@ -4,7 +4,7 @@
 
 from conftest import ORIGIN, PolicyHarness, started_attempts
 
-from stonecove.interface import Due, Note, Outcome
+from edge_router.decision.messages import Due, Note, Outcome
 
 
 def test_lost_response_is_requested_again_at_the_same_cache(policy: PolicyHarness) -> None:
--- a/tests/test_policy_robustness.py
+++ b/tests/test_policy_robustness.py
@@ -9,8 +9,8 @@
 import pytest
 from conftest import CACHES, ORIGIN, PARENTS, PolicyHarness, make_endpoints, make_settings, started_attempts
 
-from stonecove.choice import Director
-from stonecove.interface import Due, Ended, Listed, ListKind, Node, NodeState, Outcome, Refuse
+from edge_router.decision.messages import Due, Ended, Listed, ListKind, Node, NodeState, Outcome, Refuse
+from edge_router.decision.policy import Director
 
 
 def test_malformed_requests_are_answered(policy: PolicyHarness) -> None:
@@ -65,7 +65,7 @@
 import sys
 sys.path.insert(0, "tests")
 from conftest import PolicyHarness, started_attempts, make_settings
-from stonecove.interface import Due, Outcome, Purged
+from edge_router.decision.messages import Due, Outcome, Purged
 def play(policies):
     lines = [[] for _ in policies]
     for n in range(500):
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -23,13 +23,13 @@
 from tcp_endpoints import UnresponsiveAddress, free_address
 from waiting import TEST_TIMEOUT
 
-from stonecove.ground.clock import Clock
-from stonecove.ground.log import divert
-from stonecove.memory.budget import Budget
-from stonecove.stages.route import Route
-from stonecove.wire.client import Connection
-from stonecove.wire.follow import ChangeLog
-from stonecove.wire.session import MOST_TURNED_AWAY, Session
+from edge_router.discovery.change_log_watcher import ChangeLog
+from edge_router.proxy.request_router import Route
+from edge_router.runtime.clock import Clock
+from edge_router.runtime.event_log import divert
+from edge_router.runtime.memory_budget import Budget
+from edge_router.transport.client_connection import Connection
+from edge_router.transport.client_session import MOST_TURNED_AWAY, Session
 
 TIME_WAIT = "06"
 
@@ -277,7 +277,9 @@
     os.mkfifo(path)
     with Path(router.directory.name, "log").open("wb") as output:
         router.process = subprocess.Popen(
-            [sys.executable, "-m", "stonecove"], stderr=output, env={**os.environ, "RELAY_CONFIG": str(path)}
+            [sys.executable, "-m", "edge_router"],
+            stderr=output,
+            env={**os.environ, "RELAY_CONFIG": str(path)},
         )
     with path.open("w") as pipe:  # opens once the router reads it, and so has begun to start
         whole.rename(path)
--- a/tests/test_request_validation.py
+++ b/tests/test_request_validation.py
@@ -9,8 +9,8 @@
 from fastcgi_client import PARAMS, STDIN, fastcgi_record
 from router_harness import RouterHarness
 
-from stonecove.wire.fastcgi import OVERLOADED
-from stonecove.wire.session import MOST_TURNED_AWAY
+from edge_router.protocol.fastcgi import OVERLOADED
+from edge_router.transport.client_session import MOST_TURNED_AWAY
 
 
 @pytest.mark.parametrize("key", [None, "", "a,from=s-1", "a b", "a" * 129])
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -16,11 +16,10 @@
     started_attempts,
 )
 
-from stonecove.interface import (
+from edge_router.config.settings_reader import settings_from
+from edge_router.decision.messages import (
     Due,
-    Effect,
     Fail,
-    KeyGroup,
     Left,
     Listed,
     ListKind,
@@ -30,7 +29,7 @@
     Purged,
     Refuse,
 )
-from stonecove.settings import settings_from
+from edge_router.decision.settings import Effect, KeyGroup
 
 FINAL = (Refuse, Fail)
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -7,7 +7,7 @@
 import pytest
 from conftest import CACHES, ORIGIN, PolicyHarness, make_endpoints, make_settings, started_attempts
 
-from stonecove.interface import (
+from edge_router.decision.messages import (
     Ended,
     Fail,
     Get,
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -8,5 +8,5 @@
 
 def test_decision_modules_are_listed_and_have_short_lines() -> None:
     listed = tomllib.loads(ROOT.joinpath("deploy", "balancer.toml").read_text())["policy"]
-    assert {"stonecove/choice.py", "stonecove/rules.py"} <= set(listed)
+    assert {"edge_router/decision/policy.py", "edge_router/decision/rules.py"} <= set(listed)
     assert max(len(line) for path in listed for line in ROOT.joinpath(path).read_text().splitlines()) <= 110
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -8,12 +8,12 @@
 
 import pytest
 
-from stonecove.soak.cache_process import content
-from stonecove.soak.observations import Answered, Asked, Begun, Observations, RouterLife, Told
-from stonecove.soak.oracle import judge
-from stonecove.soak.plan import Call, Fault, FaultPlan
-from stonecove.soak.protocol import CommandScanner, resp_array
-from stonecove.soak.scenario import draw
+from edge_router.fault_injection.cache_process import content
+from edge_router.fault_injection.observations import Answered, Asked, Begun, Observations, RouterLife, Told
+from edge_router.fault_injection.oracle import judge
+from edge_router.fault_injection.plan import Call, Fault, FaultPlan
+from edge_router.fault_injection.protocol import CommandScanner, resp_array
+from edge_router.fault_injection.scenario import draw
 
 ITEM, TAG = "00000000000000aa", f"{5000:x}"
 
@@ -107,7 +107,11 @@
 def test_short_run_violates_no_rule() -> None:
     words = ("soak", "--seed", "1", "--seconds", "9", "--routers", "3", "--caches", "3")
     ran = subprocess.run(
-        [sys.executable, "-m", "stonecove", *words], capture_output=True, text=True, timeout=120, check=False
+        [sys.executable, "-m", "edge_router", *words],
+        capture_output=True,
+        text=True,
+        timeout=120,
+        check=False,
     )
     assert ran.returncode in (0, 3), ran.stdout + ran.stderr
     assert " 0 violations" in ran.stdout
--- a/tests/test_statistics.py
+++ b/tests/test_statistics.py
@@ -4,14 +4,14 @@
 
 from router_harness import SETTINGS
 
-from stonecove import exchange
-from stonecove.ground.clock import Clock
-from stonecove.ground.log import divert
-from stonecove.ground.timers import Timers
-from stonecove.memory.budget import Budget
-from stonecove.settings import settings_from
-from stonecove.stages.route import Route
-from stonecove.wire.channel import Channel, Owner
+from edge_router.config.settings_reader import settings_from
+from edge_router.proxy import exchange
+from edge_router.proxy.request_router import Route
+from edge_router.runtime.clock import Clock
+from edge_router.runtime.event_log import divert
+from edge_router.runtime.memory_budget import Budget
+from edge_router.runtime.timers import Timers
+from edge_router.transport.upstream_channel import Channel, Owner
 
 
 def test_statistics_line_counts_rejections_by_reason() -> None:
--- a/tests/test_system_call_failures.py
+++ b/tests/test_system_call_failures.py
@@ -31,7 +31,7 @@
 from router_harness import SETTINGS, RouterHarness
 from waiting import TEST_TIMEOUT
 
-from stonecove.soak.plan import Call, Fault
+from edge_router.fault_injection.plan import Call, Fault
 
 
 def fetch_status(router: RouterHarness, client: FastCgiClient, ident: int = 1, **what: Any) -> int:
@@ -151,7 +151,7 @@
     path = Path(router.directory.name, "config.json")
     reader, writer = os.pipe()
     process = subprocess.Popen(
-        [sys.executable, "-m", "stonecove"], stderr=writer, env={**os.environ, "RELAY_CONFIG": str(path)}
+        [sys.executable, "-m", "edge_router"], stderr=writer, env={**os.environ, "RELAY_CONFIG": str(path)}
     )
     os.close(writer)
     try:
--- a/tests/test_unread_input.py
+++ b/tests/test_unread_input.py
@@ -18,7 +18,7 @@
 from fastcgi_client import ABORT_REQUEST, FastCgiClient, fastcgi_record
 from router_harness import SETTINGS, RouterHarness
 
-from stonecove.soak.plan import Call, Fault
+from edge_router.fault_injection.plan import Call, Fault
 
 MAX_LIMIT_EXCESS = 150  # ms by which the forwarded limit may exceed the time the client has left
 UNREAD_TIME = 0.6  # seconds
