--- a/edge_router/config/platform_file.py
+++ b/edge_router/config/platform_file.py
@@ -13,7 +13,7 @@
 from edge_router.config.settings_reader import settings_from
 from edge_router.decision.settings import Settings
 from edge_router.discovery.change_log import ChangeLogError, known_events
-from edge_router.discovery.events import Told
+from edge_router.discovery.events import DiscoveryEvent
 
 LEAST_SOCKETS = 16
 
@@ -44,7 +44,7 @@
     pace: float  # bytes a second of one transfer; 0 if not told
     changelog: tuple[str, int]
     last: int  # number of the last event in `known`
-    known: tuple[Told, ...]
+    known: tuple[DiscoveryEvent, ...]
     settings: Settings
 
     def identity(self) -> dict[str, object]:
@@ -54,9 +54,9 @@
             "name": self.name,
             "listen": self.listen,
             "zone": settings.zone,
-            "areas": settings.zones,
-            "models": settings.kinds,
-            "classes": [(cls.name, cls.effect) for cls in settings.classes],
+            "areas": settings.zone_names,
+            "models": settings.role_names,
+            "classes": [(cls.name, cls.idempotency) for cls in settings.classes],
         }
 
 
--- a/edge_router/decision/messages.py
+++ b/edge_router/decision/messages.py
@@ -9,10 +9,10 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-NodeId = int
+EndpointId = int
 
 
-class NodeState(IntEnum):
+class EndpointState(IntEnum):
     """State of a listed node."""
 
     DRAINING = 0
@@ -20,7 +20,7 @@
     READY = 2
 
 
-class ListKind(IntEnum):
+class UpdateKind(IntEnum):
     """Kind of list report."""
 
     DELTA = 0
@@ -36,179 +36,190 @@
     CANCELLED = 1
     TIMEOUT = 4
     MISS = 5
-    FULL = 8
-    MOOT = 9
+    OVERLOADED = 8
+    NOT_SENT = 9
     RESET = 10
     ERROR = 13
     CONNECT_FAILED = 14
     UNKNOWN = 255
 
 
-class Note(IntEnum):
+class FillResult(IntEnum):
     """What an outcome tells of the copy or the fill behind it."""
 
     NONE = 0
     HIT = 1
     FILLED = 2
     FILLED_BY_ORIGIN = 3
-    JOINED = 4
-    OLD_COPY = 5
+    COALESCED = 4
+    STALE_COPY = 5
     SOURCE_REFUSED = 6
-    SOURCE_BROKE = 7
-    SOURCE_LACKS = 8
-    NO_FILL_PLACE = 9
+    SOURCE_FAILED = 7
+    SOURCE_MISS = 8
+    NO_FILL_SLOT = 9
     ORIGIN_FAILED = 10
 
 
-class Node(NamedTuple):
+class Endpoint(NamedTuple):
     """One entry of a list of nodes."""
 
-    node: NodeId
-    kind: int
-    started: float
-    state: NodeState
+    endpoint_id: EndpointId
+    role: int
+    started_at: float
+    state: EndpointState
     cell: int
     zone: int
     weight: float
 
 
-class Listed(NamedTuple):
+class EndpointListUpdate(NamedTuple):
     """The list of nodes, or what has changed in it."""
 
-    form: ListKind
-    nodes: tuple[Node, ...]
+    kind: UpdateKind
+    endpoints: tuple[Endpoint, ...]
 
 
-class Request(NamedTuple):
+class RequestReceived(NamedTuple):
     """A client's request; one final answer is owed from now on."""
 
-    req: int
-    kind: int
-    key: int
-    grace: float
-    size: float
-    group: int
-    part: int
+    request_number: int
+    class_index: int
+    object_key: int
+    time_remaining: float
+    size_kb: float
+    purge_group: int
+    segment: int
 
 
-class Ended(NamedTuple):
+class AttemptEnded(NamedTuple):
     """The end of one attempt."""
 
-    req: int
-    attempt: int
-    node: NodeId
+    request_number: int
+    attempt_index: int
+    endpoint_id: EndpointId
     outcome: Outcome
-    took: float
-    closed: bool
-    note: int
-    waited: float
-    load: tuple[float, ...]
+    duration: float
+    request_closed: bool
+    fill_result: int
+    fill_wait: float
+    load_report: tuple[float, ...]
 
 
-class Started(NamedTuple):
+class ResponseStarted(NamedTuple):
     """The answer of a streamed request has begun."""
 
-    req: int
-    attempt: int
-    node: NodeId
+    request_number: int
+    attempt_index: int
+    endpoint_id: EndpointId
 
 
-class Left(NamedTuple):
+class ClientDisconnected(NamedTuple):
     """The client has gone."""
 
-    req: int
+    request_number: int
 
 
-class Due(NamedTuple):
+class TimerFired(NamedTuple):
     """A timer has fallen due."""
 
     token: int
 
 
-class Purged(NamedTuple):
+class PurgeReceived(NamedTuple):
     """An object, or with key 0 a whole group, was purged `age` ago."""
 
     age: float
-    group: int
-    key: int
+    purge_group: int
+    object_key: int
 
 
-class Probed(NamedTuple):
+class HealthCheckResult(NamedTuple):
     """The result of a probe."""
 
-    node: NodeId
-    ok: bool
-    took: float
-    load: tuple[float, ...]
+    endpoint_id: EndpointId
+    healthy: bool
+    duration: float
+    load_report: tuple[float, ...]
 
 
-Event = Listed | Request | Ended | Started | Left | Due | Purged | Probed
+Event = (
+    EndpointListUpdate
+    | RequestReceived
+    | AttemptEnded
+    | ResponseStarted
+    | ClientDisconnected
+    | TimerFired
+    | PurgeReceived
+    | HealthCheckResult
+)
 
 
-class How(IntEnum):
+class FillMode(IntEnum):
     """Bits of an order to fill."""
 
-    JOIN = 1
-    HELD_ONLY = 2
-    NO_PARENT_COPY = 4
-    RENEW = 8
+    COALESCE = 1
+    CACHED_ONLY = 2
+    NO_PARENT_CACHING = 4
+    BACKGROUND_REFRESH = 8
 
 
-class Get(NamedTuple):
+class StartAttempt(NamedTuple):
     """Ask a cache, with orders for a miss."""
 
-    req: int
-    node: NodeId
-    cut_at: float
-    source: NodeId
-    keep: int
-    age: float
-    how: int
-    begin_by: float = float("inf")  # not to be begun from then on: a repeat would be none any more
+    request_number: int
+    endpoint_id: EndpointId
+    deadline: float
+    source_id: EndpointId
+    cache_rank: int
+    max_age: float
+    fill_mode: int
+    start_before: float = float("inf")  # not to be begun from then on: a repeat would be none any more
 
 
-class Cancel(NamedTuple):
+class CancelAttempt(NamedTuple):
     """End the wait for one attempt."""
 
-    req: int
-    attempt: int
+    request_number: int
+    attempt_index: int
 
 
-class Refuse(NamedTuple):
+class Reject(NamedTuple):
     """Final answer: refused, a retry is harmless."""
 
-    req: int
-    pause: float
-    why: str = ""  # for the operators
+    request_number: int
+    retry_after: float
+    reason: str = ""  # for the operators
 
 
 class Fail(NamedTuple):
     """Final answer: failed, nothing is promised."""
 
-    req: int
+    request_number: int
 
 
-class Timer(NamedTuple):
+class SetTimer(NamedTuple):
     """Ask for a Due event."""
 
     token: int
-    at: float
+    fire_at: float
 
 
-class Probe(NamedTuple):
+class StartHealthCheck(NamedTuple):
     """Ask a node for its health."""
 
-    node: NodeId
+    endpoint_id: EndpointId
 
 
-class Watch(NamedTuple):
+class WatchEndpoints(NamedTuple):
     """Subscribe to changes of the list."""
 
 
-class Log(NamedTuple):
+class LogMessage(NamedTuple):
     """A line for the operators."""
 
     text: str
 
 
-Action = Get | Cancel | Refuse | Fail | Timer | Probe | Watch | Log
+Action = (
+    StartAttempt | CancelAttempt | Reject | Fail | SetTimer | StartHealthCheck | WatchEndpoints | LogMessage
+)
--- a/edge_router/decision/policy.py
+++ b/edge_router/decision/policy.py
@@ -18,27 +18,27 @@
 from edge_router.decision import rules
 from edge_router.decision.messages import (
     Action,
-    Cancel,
-    Due,
-    Ended,
+    AttemptEnded,
+    CancelAttempt,
+    ClientDisconnected,
+    Endpoint,
+    EndpointId,
+    EndpointListUpdate,
+    EndpointState,
     Event,
     Fail,
-    Get,
-    How,
-    Left,
-    Listed,
-    ListKind,
-    Log,
-    Node,
-    NodeId,
-    NodeState,
-    Note,
+    FillMode,
+    FillResult,
+    LogMessage,
     Outcome,
-    Purged,
-    Refuse,
-    Request,
-    Timer,
-    Watch,
+    PurgeReceived,
+    Reject,
+    RequestReceived,
+    SetTimer,
+    StartAttempt,
+    TimerFired,
+    UpdateKind,
+    WatchEndpoints,
 )
 from edge_router.decision.settings import ClassSettings, Settings
 
@@ -75,8 +75,8 @@
 NEVER = (-math.inf, -math.inf)
 
 _MASK = (1 << 64) - 1
-_UNSEEN = frozenset((Outcome.CONNECT_FAILED, Outcome.MOOT))
-_SOURCE_NOTES = frozenset((Note.SOURCE_REFUSED, Note.SOURCE_BROKE, Note.SOURCE_LACKS))
+_UNSEEN = frozenset((Outcome.CONNECT_FAILED, Outcome.NOT_SENT))
+_SOURCE_NOTES = frozenset((FillResult.SOURCE_REFUSED, FillResult.SOURCE_FAILED, FillResult.SOURCE_MISS))
 
 
 # ---- Popularity ----
@@ -192,17 +192,17 @@
     return value ^ (value >> 31)
 
 
-def unit(key: int, node: NodeId) -> float:
+def unit(key: int, node: EndpointId) -> float:
     """A number within (0, 1) that belongs to the pair."""
     return ((mix(key ^ mix(node)) >> 11) + 0.5) / (1 << 53)
 
 
-def part_key(request: Request) -> int:
+def part_key(request: RequestReceived) -> int:
     """What names the home. Danger: all parts of a film on one cache; each is kept and filled on its own."""
-    return mix(request.key + mix(request.part)) if request.part else request.key
+    return mix(request.object_key + mix(request.segment)) if request.segment else request.object_key
 
 
-def hash_order(weights: Sequence[tuple[NodeId, float]], key: int) -> tuple[NodeId, ...]:
+def hash_order(weights: Sequence[tuple[EndpointId, float]], key: int) -> tuple[EndpointId, ...]:
     """The nodes in the order in which they are home to the key."""
     scores = [(math.log(unit(key, node)) / weight, node) for node, weight in weights]
     return tuple(node for _, node in sorted(scores, reverse=True))
@@ -211,9 +211,9 @@
 class Ring:
     """Weighted rendezvous hashing over some nodes; orders are cached until the list changes."""
 
-    def __init__(self, nodes: Sequence[Node], weighted: bool) -> None:
-        self.nodes = {node.node: node for node in nodes}
-        weights = [(node.node, node.weight if weighted and node.weight > 0 else 1.0) for node in nodes]
+    def __init__(self, nodes: Sequence[Endpoint], weighted: bool) -> None:
+        self.nodes = {node.endpoint_id: node for node in nodes}
+        weights = [(node.endpoint_id, node.weight if weighted and node.weight > 0 else 1.0) for node in nodes]
         # Danger: a method of its own here would keep the ring in memory after the list has changed.
         self.order = lru_cache(TABLE_MOST)(partial(hash_order, weights))
 
@@ -251,7 +251,7 @@
             self.until = now + pause
 
 
-Healths = defaultdict[NodeId, Health]
+Healths = defaultdict[EndpointId, Health]
 
 
 # ---- Cold budgets ----
@@ -265,7 +265,7 @@
         self._warm_up = warm_up
         self._multiple = multiple
         self._window = window
-        self.sent: dict[NodeId, deque[list[float]]] = {}
+        self.sent: dict[EndpointId, deque[list[float]]] = {}
 
     def present(self, now: float, started: float) -> float:
         """The least part of its capacity that the node has now; 1 once it is surely warm."""
@@ -275,19 +275,19 @@
         warmed = max(0.0, age - self._window) / max(self._warm_up, 1.0)
         return self._from + (1 - self._from) * min(1.0, warmed)
 
-    def fits(self, now: float, node: Node, work: float, capacity: float, share: float) -> bool:
+    def fits(self, now: float, node: Endpoint, work: float, capacity: float, share: float) -> bool:
         """Whether work of so long a sending time may go there now. Capacity is in transfers at once."""
-        present = self.present(now, node.started)
+        present = self.present(now, node.started_at)
         if present >= 1.0:
-            self.sent.pop(node.node, None)
+            self.sent.pop(node.endpoint_id, None)
             return True
-        sent = self.sent.setdefault(node.node, deque())
+        sent = self.sent.setdefault(node.endpoint_id, deque())
         while sent and sent[0][0] <= now - self._window:
             sent.popleft()
         allowed = self._multiple * present * self._window * max(1.0, capacity) * share * HEADROOM
         return sum(work for _, work in sent) + work <= allowed
 
-    def charge(self, now: float, node: NodeId, work: float) -> list[float]:
+    def charge(self, now: float, node: EndpointId, work: float) -> list[float]:
         """Books an attempt whatever its end, if the node is watched; returns the entry."""
         entry = [now, work]
         if node in self.sent:
@@ -306,12 +306,12 @@
         self._moments: dict[tuple[int, int], tuple[float, float]] = {}  # of the purge, and when it was told
         self._next_sweep = -math.inf
 
-    def told(self, now: float, event: Purged) -> None:
+    def told(self, now: float, event: PurgeReceived) -> None:
         """Notes a purge of an object (group -1) or, with no object, of a group.
 
         Danger: an age by a clock that is wrong. One beyond what a purge lasts counts as none at all.
         """
-        name = (event.key, -1) if event.key else (0, event.group)
+        name = (event.object_key, -1) if event.object_key else (0, event.purge_group)
         age = event.age if event.age <= self._lasts else 0.0
         self._moments[name] = max(now - age, self._moments.get(name, NEVER)[0]), now
         if now >= self._next_sweep:
@@ -387,8 +387,8 @@
 class Attempt:
     """One attempt of a request."""
 
-    node: NodeId
-    source: NodeId
+    node: EndpointId
+    source: EndpointId
     sent: float
     due: float  # overdue from then on
     fills: bool  # a miss is likely
@@ -405,18 +405,18 @@
 class Held:
     """The one record of a request that has no final answer yet."""
 
-    def __init__(self, now: float, request: Request, cls: ClassSettings, work: float) -> None:
+    def __init__(self, now: float, request: RequestReceived, cls: ClassSettings, work: float) -> None:
         self.request = request
         self.cls = cls
         self.work = work
-        self.deadline = now + request.grace
-        self.aim = min(cls.aim + cls.aim_stretch * work, cls.deadline)
+        self.deadline = now + request.time_remaining
+        self.aim = min(cls.latency_objective + cls.latency_objective_per_work * work, cls.deadline)
         self.attempts: list[Attempt] = []
         self.missed = False
         self.spares = False  # the origin is not asked for it
         self.why = "no_cache"  # why no attempt could be sent, for the operators
-        self.tried: set[NodeId] = set()
-        self.bad_sources: set[NodeId] = set()
+        self.tried: set[EndpointId] = set()
+        self.bad_sources: set[EndpointId] = set()
 
     def first_run(self) -> Attempt | None:
         """The first attempt that may have run."""
@@ -438,45 +438,52 @@
         if not settings.classes:
             raise ValueError("settings lack 'classes'")
         self._set = settings
-        self._pace = settings.client_pace if settings.client_pace > 0 else math.inf
-        self._shortest = max(TICK, min(cls.aim for cls in settings.classes))
+        self._pace = settings.client_bandwidth if settings.client_bandwidth > 0 else math.inf
+        self._shortest = max(TICK, min(cls.latency_objective for cls in settings.classes))
         self._random = random.Random(entropy)
-        zone, links, directors = settings.zone, settings.zone_link, settings.zone_directors
-        self._zone_share = 1.0 / max(1, directors[zone] if 0 <= zone < len(directors) else settings.fleet)
+        zone, links, directors = settings.zone, settings.zone_link_bandwidth, settings.routers_by_zone
+        self._zone_share = 1.0 / max(
+            1, directors[zone] if 0 <= zone < len(directors) else settings.fleet_size
+        )
         self._crowded_at = CROWDED[0] + (CROWDED[1] - CROWDED[0]) * self._zone_share  # others add work unseen
         self._link_size = (links[zone] if 0 <= zone < len(links) else 0.0) / self._pace  # transfers at once
         self._out: list[Action] = []
-        self._listed: dict[NodeId, Node] = {}
+        self._listed: dict[EndpointId, Endpoint] = {}
         self._rings()
-        self._popularity = Popularity(HALF_LIFE * max(settings.warm_up, settings.purge_done))
+        self._popularity = Popularity(
+            HALF_LIFE * max(settings.slow_start_duration, settings.purge_settle_time)
+        )
         self._cache_health: Healths = defaultdict(Health)
         self._source_health: Healths = defaultdict(Health)
         self._cold_caches = ColdBudget(
-            settings.cold_from, settings.warm_up, settings.fall_multiple, settings.fall_window
+            settings.slow_start_initial_capacity,
+            settings.slow_start_duration,
+            settings.overload_factor,
+            settings.overload_window,
         )
         self._cold_parents = ColdBudget(
-            settings.parent_cold_from,
-            settings.parent_warm_up,
-            settings.parent_fall_multiple,
-            settings.fall_window,
+            settings.parent_slow_start_initial_capacity,
+            settings.parent_slow_start_duration,
+            settings.parent_overload_factor,
+            settings.overload_window,
         )
-        self._purges = Purges(settings.purge_done * PURGE_MARGIN + settings.purge_grace)
+        self._purges = Purges(settings.purge_settle_time * PURGE_MARGIN + settings.purge_notice_time)
         self._held: dict[int, Held] = {}
-        self._loads: dict[NodeId, Load] = {}
+        self._loads: dict[EndpointId, Load] = {}
         self._wait = 0.0  # how long fills lately waited for their first byte; a failed one, its wanted time
         self._origin = Load.of(1.0, 1.0, self._shortest)  # fetches asked of it against those it answered
         self._link = Load.of(self._link_size, self._zone_share, self._shortest)
-        self._copies: dict[tuple[int, int, NodeId], float] = {}
+        self._copies: dict[tuple[int, int, EndpointId], float] = {}
         self._mean_work = [[0.0, 0.0] for _ in settings.classes]
         self._hedges = HEDGE_BURST
         self._pause = PAUSE * max(settings.connect_timeout, 1.0)
         self._handlers: dict[type, Callable[[float, Any], None]] = {
-            Listed: self._on_list,
-            Request: self._on_request,
-            Ended: self._on_end,
-            Left: self._on_left,
-            Due: self._on_due,
-            Purged: self._purges.told,
+            EndpointListUpdate: self._on_list,
+            RequestReceived: self._on_request,
+            AttemptEnded: self._on_end,
+            ClientDisconnected: self._on_left,
+            TimerFired: self._on_due,
+            PurgeReceived: self._purges.told,
         }  # streams go on by themselves, probes are not sent
 
     def handle(self, now: float, event: Event) -> list[Action]:
@@ -499,29 +506,29 @@
 
     # -- the list --
 
-    def _on_list(self, now: float, event: Listed) -> None:
-        if event.form is ListKind.FAILED:
+    def _on_list(self, now: float, event: EndpointListUpdate) -> None:
+        if event.kind is UpdateKind.FAILED:
             return
         before = self._listed
-        if event.form is not ListKind.DELTA:
+        if event.kind is not UpdateKind.DELTA:
             self._listed = {}
-            if event.form is ListKind.CACHED and self._set.list_by_asking:
-                self._out.append(Watch())
-        for node in event.nodes:
-            known = before.get(node.node)
-            if known is not None and node.started != known.started:
-                self._cache_health.pop(node.node, None)
-                self._source_health.pop(node.node, None)
-            if node.state is NodeState.GONE:
-                self._listed.pop(node.node, None)
+            if event.kind is UpdateKind.CACHED and self._set.endpoint_list_polled:
+                self._out.append(WatchEndpoints())
+        for node in event.endpoints:
+            known = before.get(node.endpoint_id)
+            if known is not None and node.started_at != known.started_at:
+                self._cache_health.pop(node.endpoint_id, None)
+                self._source_health.pop(node.endpoint_id, None)
+            if node.state is EndpointState.GONE:
+                self._listed.pop(node.endpoint_id, None)
             else:
-                self._listed[node.node] = node
+                self._listed[node.endpoint_id] = node
         self._forget()
         self._rings()
 
     def _forget(self) -> None:
         """Danger: tables that grow with every node that ever was."""
-        tables: list[dict[NodeId, Any]] = [
+        tables: list[dict[EndpointId, Any]] = [
             self._cache_health,
             self._source_health,
             self._loads,
@@ -534,30 +541,30 @@
 
     def _rings(self) -> None:
         """Sorts the ready nodes by role."""
-        parent, origin, weighted = self._set.parent_kind, self._set.origin_kind, self._set.weighted
-        ready = sorted(n for n in self._listed.values() if n.state is NodeState.READY)
-        self._origins = [n.node for n in ready if n.kind == origin]
-        self._parents = Ring([n for n in ready if n.kind == parent], weighted)
+        parent, origin, weighted = self._set.parent_role, self._set.origin_role, self._set.endpoints_weighted
+        ready = sorted(n for n in self._listed.values() if n.state is EndpointState.READY)
+        self._origins = [n.endpoint_id for n in ready if n.role == origin]
+        self._parents = Ring([n for n in ready if n.role == parent], weighted)
         self._caches = Ring(
-            [n for n in ready if n.kind not in (parent, origin) and n.zone == self._set.zone], weighted
+            [n for n in ready if n.role not in (parent, origin) and n.zone == self._set.zone], weighted
         )
 
     # -- a request --
 
-    def _on_request(self, now: float, event: Request) -> None:
-        if not 0 <= event.kind < len(self._set.classes):
-            self._out.append(Refuse(event.req, 0.0, "class"))
+    def _on_request(self, now: float, event: RequestReceived) -> None:
+        if not 0 <= event.class_index < len(self._set.classes):
+            self._out.append(Reject(event.request_number, 0.0, "class"))
             return
-        cls = self._set.classes[event.kind]
-        work = event.size / self._pace * 1000.0
-        mean = self._mean_work[event.kind]
+        cls = self._set.classes[event.class_index]
+        work = event.size_kb / self._pace * 1000.0
+        mean = self._mean_work[event.class_index]
         mean[0] += 1
         mean[1] += (work - mean[1]) / min(mean[0], 1000.0)
         held = Held(now, event, cls, work)
         self._hedges = min(HEDGE_BURST, self._hedges + HEDGE_SHARE)
-        if not cls.never_kept:
-            self._popularity.note(now, event.key, event.size, event.part)
-        self._held[event.req] = held
+        if not cls.uncacheable:
+            self._popularity.note(now, event.object_key, event.size_kb, event.segment)
+        self._held[event.request_number] = held
         if not self._try(now, held):
             self._give_up(held)
 
@@ -567,10 +574,10 @@
         Danger: the location's link in is crowded; then a cache is only asked, once, for what it holds.
         """
         # Danger: an origin that is asked for more than it can do, and stops.
-        held.spares = not held.cls.never_kept and (
+        held.spares = not held.cls.uncacheable and (
             self._random.random() * self._origin.slowed(now) > ORIGIN_PUSH
         )
-        look = not held.cls.never_kept and (look or self._link_crowded(now, held))
+        look = not held.cls.uncacheable and (look or self._link_crowded(now, held))
         if held.missed and (look or held.spares):
             held.why = "link" if look else "origin"
             return False
@@ -580,7 +587,7 @@
                     return True
         return False
 
-    def _cache_choices(self, now: float, held: Held) -> Iterator[NodeId]:
+    def _cache_choices(self, now: float, held: Held) -> Iterator[EndpointId]:
         """The home, spread for a hot object, then the rest in hash order; doubtful caches come last."""
         key, caches = part_key(held.request), self._caches
         order = caches.order(key)
@@ -590,7 +597,7 @@
             if node not in held.tried
             and self._fit(now, key, node, caches, self._cache_health, self._cold_caches)
         ]
-        spread = self._spread(held.request.key, len(order))
+        spread = self._spread(held.request.object_key, len(order))
         if spread > 1 and len(good) > 1:
             loads = {node: self._load(node) for node in good[:spread]}
             good[:spread] = sorted(
@@ -601,7 +608,7 @@
         if not good:
             yield from sorted(order, key=lambda node: node in held.tried)
 
-    def _crowded(self, now: float, held: Held, node: NodeId) -> bool:
+    def _crowded(self, now: float, held: Held, node: EndpointId) -> bool:
         """Whether the answer would come too late even from a copy."""
         return held.work * self._load(node).pace(now) > self._crowded_at * held.aim
 
@@ -612,14 +619,14 @@
             self._wait *= 1 - LEARN  # each request held off lets the next ones try a little sooner
         return late
 
-    def _has_copy(self, now: float, held: Held, node: NodeId) -> bool:
+    def _has_copy(self, now: float, held: Held, node: EndpointId) -> bool:
         """Whether the cache probably holds the object, as this director had it kept there lately."""
         request = held.request
-        since = self._copies.get((request.key, request.part, node), -math.inf)
-        purged = self._purges.limit(now, request.key, request.group)
-        if now - since > min(KEPT_FOR * self._set.warm_up, purged):
+        since = self._copies.get((request.object_key, request.segment, node), -math.inf)
+        purged = self._purges.limit(now, request.object_key, request.purge_group)
+        if now - since > min(KEPT_FOR * self._set.slow_start_duration, purged):
             return False
-        return since >= self._caches.nodes[node].started
+        return since >= self._caches.nodes[node].started_at
 
     def _spread(self, key: int, caches: int) -> int:
         """Over how many caches an object of the top set goes, by its heat against a cache's fair share."""
@@ -628,17 +635,17 @@
         return 1 + int(self._popularity.byte_share(key) * caches / SPREAD_AT)
 
     @staticmethod
-    def _fit(now: float, key: int, node: NodeId, ring: Ring, health: Healths, cold: ColdBudget) -> bool:
+    def _fit(now: float, key: int, node: EndpointId, ring: Ring, health: Healths, cold: ColdBudget) -> bool:
         """Whether the node is healthy and, while it warms, takes this object already."""
         if not health[node].usable(now):
             return False
-        present = cold.present(now, ring.nodes[node].started)
+        present = cold.present(now, ring.nodes[node].started_at)
         return present >= 1.0 or unit(~key & _MASK, node) < present
 
-    def _source_choices(self, now: float, held: Held, node: NodeId) -> Iterator[NodeId]:
+    def _source_choices(self, now: float, held: Held, node: EndpointId) -> Iterator[EndpointId]:
         """The home parent and the next ones in hash order, the origin last."""
-        key, parents = held.request.key, self._parents
-        order = () if held.cls.never_kept else parents.order(key)
+        key, parents = held.request.object_key, self._parents
+        order = () if held.cls.uncacheable else parents.order(key)
         good = [
             parent
             for parent in order
@@ -651,20 +658,20 @@
 
     # -- the one way out --
 
-    def _leave(self, now: float, held: Held, node: NodeId, source: NodeId) -> bool:
+    def _leave(self, now: float, held: Held, node: EndpointId, source: EndpointId) -> bool:
         """Every attempt leaves here, where the five rules are kept; False if they forbid this one."""
         request, settings = held.request, self._set
         cache = self._caches.nodes.get(node)
-        if cache is None or request.req not in self._held or now >= held.deadline:
+        if cache is None or request.request_number not in self._held or now >= held.deadline:
             return False  # drains (the ring holds ready nodes only) and final answers
         parent = self._parents.nodes.get(source)
         if (
-            len(held.attempts) >= settings.most_attempts
+            len(held.attempts) >= settings.max_attempts
             or not self._may_repeat(now, held, cache)
             or (parent is None and source not in self._origins and source != node)
         ):
             return False
-        work = self._mean_work[request.kind][1]
+        work = self._mean_work[request.class_index][1]
         if not self._cold_caches.fits(now, cache, work, *self._bears(cache)):
             return False
         if parent is not None and not self._cold_parents.fits(now, parent, held.work, *self._bears(parent)):
@@ -678,23 +685,25 @@
         due = now + max(OVERDUE * held.aim, LATE * expected)
         begin_by = held.begin_by()
         self._begin(held, Attempt(node, source, now, due, fills, entry, self._load(node), self._load(source)))
-        keep = 0 if held.cls.never_kept else self._popularity.rank(request.key)
+        keep = 0 if held.cls.uncacheable else self._popularity.rank(request.object_key)
         age, how = self._copy_wanted(now, held)
-        self._out.append(Get(request.req, node, held.deadline, source, keep, age, how, begin_by))
+        self._out.append(
+            StartAttempt(request.request_number, node, held.deadline, source, keep, age, how, begin_by)
+        )
         if due < held.deadline:
-            self._out.append(Timer(request.req, due))
+            self._out.append(SetTimer(request.request_number, due))
         return True
 
-    def _load(self, node: NodeId) -> Load:
+    def _load(self, node: EndpointId) -> Load:
         load = self._loads.get(node)
         if load is None:
             size, share = self._bears(self._listed[node]) if node in self._listed else (1.0, 1.0)
             load = self._loads[node] = Load.of(size, share, self._shortest)
         return load
 
-    def _may_repeat(self, now: float, held: Held, cache: Node) -> bool:
+    def _may_repeat(self, now: float, held: Held, cache: Endpoint) -> bool:
         """Danger: an effect that happens twice."""
-        if held.pending() and not self._set.second_copies:
+        if held.pending() and not self._set.hedging_allowed:
             return False
         first = held.first_run()
         node, sent = (first.node, first.sent) if first else (None, None)
@@ -703,42 +712,48 @@
     def _copy_wanted(self, now: float, held: Held) -> tuple[float, int]:
         """The oldest copy that will do, and how to fill. A repeat, or one to spare the origin, takes old."""
         cls, request = held.cls, held.request
-        limit = self._purges.limit(now, request.key, request.group)
-        how = int(How.HELD_ONLY) if held.spares else int(How.RENEW) if cls.fresh > 0 else 0
-        if self._set.joins and limit == math.inf and len(held.attempts) <= 1:
-            how |= How.JOIN  # a fill under way may have begun before a purge
-        most = cls.fresh
-        if cls.fresh > 0 and cls.stale > 0 and (held.spares or len(held.attempts) > 1):
-            most += cls.stale
+        limit = self._purges.limit(now, request.object_key, request.purge_group)
+        how = (
+            int(FillMode.CACHED_ONLY)
+            if held.spares
+            else int(FillMode.BACKGROUND_REFRESH)
+            if cls.freshness_lifetime > 0
+            else 0
+        )
+        if self._set.coalesces_fills and limit == math.inf and len(held.attempts) <= 1:
+            how |= FillMode.COALESCE  # a fill under way may have begun before a purge
+        most = cls.freshness_lifetime
+        if cls.freshness_lifetime > 0 and cls.stale_lifetime > 0 and (held.spares or len(held.attempts) > 1):
+            most += cls.stale_lifetime
         if most > 0:
             return min(limit, most), how
         return (limit if limit < math.inf else 0.0), how
 
-    def _bears(self, node: Node) -> tuple[float, float]:
+    def _bears(self, node: Endpoint) -> tuple[float, float]:
         """Transfers at once, told by the weight or else a part of the links that it feeds; our share.
 
         Where neither is told they are 0, unknown; a cache's are learned from its hits.
         """
-        if node.kind == self._set.parent_kind:
-            share = 1.0 / max(1, self._set.fleet)
-            size = sum(self._set.zone_link) / self._pace / max(1, len(self._parents.nodes))
+        if node.role == self._set.parent_role:
+            share = 1.0 / max(1, self._set.fleet_size)
+            size = sum(self._set.zone_link_bandwidth) / self._pace / max(1, len(self._parents.nodes))
         else:
             share, size = self._zone_share, self._link_size / max(1, len(self._caches.nodes))
-        return node.weight if self._set.weighted and node.weight > 0 else size, share
+        return node.weight if self._set.endpoints_weighted and node.weight > 0 else size, share
 
     # -- ends of attempts --
 
-    def _on_end(self, now: float, event: Ended) -> None:
-        held = self._held.get(event.req)
-        if held is None or event.attempt >= len(held.attempts):
+    def _on_end(self, now: float, event: AttemptEnded) -> None:
+        held = self._held.get(event.request_number)
+        if held is None or event.attempt_index >= len(held.attempts):
             return
-        attempt = held.attempts[event.attempt]
+        attempt = held.attempts[event.attempt_index]
         if not attempt.pending:
             return
         self._ended(held, attempt)
         self._judge(now, held, attempt, event)
-        if event.closed or event.outcome is Outcome.OK:
-            if any(earlier.pending for earlier in held.attempts[: event.attempt]):
+        if event.request_closed or event.outcome is Outcome.OK:
+            if any(earlier.pending for earlier in held.attempts[: event.attempt_index]):
                 self._hedges = min(HEDGE_BURST, self._hedges + 1.0)  # the copy was needed
             self._close(held)
             return
@@ -779,22 +794,22 @@
         self._hedges -= 1.0
         return True
 
-    def _judge(self, now: float, held: Held, attempt: Attempt, event: Ended) -> None:
+    def _judge(self, now: float, held: Held, attempt: Attempt, event: AttemptEnded) -> None:
         """Tells cache, source and origin apart by the outcome and its note."""
-        note, outcome = event.note, event.outcome
-        if note in (Note.FILLED_BY_ORIGIN, Note.ORIGIN_FAILED):
-            self._origin.felt(now, self._shortest, self._shortest * (note == Note.FILLED_BY_ORIGIN))
+        note, outcome = event.fill_result, event.outcome
+        if note in (FillResult.FILLED_BY_ORIGIN, FillResult.ORIGIN_FAILED):
+            self._origin.felt(now, self._shortest, self._shortest * (note == FillResult.FILLED_BY_ORIGIN))
         if outcome is Outcome.OK:
             self._cache_health[attempt.node].good(now)
-            if note == Note.HIT:
-                attempt.load.felt(now, event.took, held.work)
-                if not self._set.weighted and held.work > 0:
-                    attempt.load.learn(attempt.beside, event.took / held.work)
-            if note == Note.HIT or self._popularity.rank(held.request.key):
-                self._copied(now, (held.request.key, held.request.part, attempt.node))
-            if note in (Note.FILLED, Note.FILLED_BY_ORIGIN):
-                self._wait += LEARN * (event.waited - self._wait)
-                came = min(max(held.work, event.took - event.waited), STRAY * held.work)
+            if note == FillResult.HIT:
+                attempt.load.felt(now, event.duration, held.work)
+                if not self._set.endpoints_weighted and held.work > 0:
+                    attempt.load.learn(attempt.beside, event.duration / held.work)
+            if note == FillResult.HIT or self._popularity.rank(held.request.object_key):
+                self._copied(now, (held.request.object_key, held.request.segment, attempt.node))
+            if note in (FillResult.FILLED, FillResult.FILLED_BY_ORIGIN):
+                self._wait += LEARN * (event.fill_wait - self._wait)
+                came = min(max(held.work, event.duration - event.fill_wait), STRAY * held.work)
                 if self._link_size <= 0 and held.work > 0:  # danger: fills that take all places of the caches
                     self._link.learn(attempt.filling, came / held.work)
                 ways = [attempt.load, self._link, attempt.source_load]
@@ -803,15 +818,15 @@
                     others = max(felt[:place] + felt[place + 1 :])
                     load.felt(now, came, max(held.work, min(came, held.work * others)))
                 self._source_health[attempt.source].good(now)
-            elif note == Note.HIT:
+            elif note == FillResult.HIT:
                 attempt.budget[1] = 0.0  # it never reached the parent
             return
-        if note in _SOURCE_NOTES or note == Note.ORIGIN_FAILED:
+        if note in _SOURCE_NOTES or note == FillResult.ORIGIN_FAILED:
             held.bad_sources.add(attempt.source)
-            if note != Note.SOURCE_LACKS:
+            if note != FillResult.SOURCE_MISS:
                 self._wait += LEARN * (held.aim - self._wait)
             self._cache_health[attempt.node].good(now)
-            if note == Note.SOURCE_BROKE:
+            if note == FillResult.SOURCE_FAILED:
                 self._bad(self._source_health, attempt.source, now, attempt.sent, 1)
         elif outcome is Outcome.CONNECT_FAILED:
             self._bad(self._cache_health, attempt.node, now, attempt.sent, SILENT_AFTER)
@@ -825,21 +840,26 @@
         elif outcome is Outcome.ERROR:
             self._bad(self._cache_health, attempt.node, now, attempt.sent, 1)
 
-    def _copied(self, now: float, copy: tuple[int, int, NodeId]) -> None:
+    def _copied(self, now: float, copy: tuple[int, int, EndpointId]) -> None:
         """Notes where a copy is; those too old to be thought there any more go first."""
         self._copies.pop(copy, None)
         self._copies[copy] = now
         for _ in range(2):
             oldest = next(iter(self._copies))
-            if len(self._copies) < TABLE_MOST and now - self._copies[oldest] <= KEPT_FOR * self._set.warm_up:
+            if (
+                len(self._copies) < TABLE_MOST
+                and now - self._copies[oldest] <= KEPT_FOR * self._set.slow_start_duration
+            ):
                 break
             del self._copies[oldest]
 
-    def _bad(self, table: Healths, node: NodeId, now: float, sent: float, marks: float) -> None:
+    def _bad(self, table: Healths, node: EndpointId, now: float, sent: float, marks: float) -> None:
         if table[node].bad(now, sent, self._pause, marks):
-            self._out.append(Log(f"{'cache' if table is self._cache_health else 'source'} {node:x} ejected"))
+            self._out.append(
+                LogMessage(f"{'cache' if table is self._cache_health else 'source'} {node:x} ejected")
+            )
 
-    def _on_due(self, now: float, event: Due) -> None:
+    def _on_due(self, now: float, event: TimerFired) -> None:
         """An attempt may be overdue: blame what has not been heard of since, and send a second copy.
 
         Danger: answers that are lost while their cache lives, so that no ejection helps.
@@ -850,7 +870,7 @@
             cache = self._cache_health[attempt.node]
             alive, least = cache.heard >= attempt.sent, attempt.sent + SILENT_FOR * self._set.connect_timeout
             if not alive and now + TICK < least:
-                self._out.append(Timer(event.token, least))
+                self._out.append(SetTimer(event.token, least))
             else:
                 attempt.overdue = True
                 if not alive:
@@ -866,25 +886,29 @@
             if held.pending() <= 1 + down and (calm or down) and self._may_spend():
                 self._try(now, held, look=not down)
 
-    def _on_left(self, now: float, event: Left) -> None:
-        if held := self._held.get(event.req):
+    def _on_left(self, now: float, event: ClientDisconnected) -> None:
+        if held := self._held.get(event.request_number):
             self._close(held)
 
     def _close(self, held: Held) -> None:
         """The request has its final answer; what is still out is called off."""
-        del self._held[held.request.req]
+        del self._held[held.request.request_number]
         for number, attempt in enumerate(held.attempts):
             if attempt.pending:
                 self._ended(held, attempt)
-                if self._set.may_cancel:
-                    self._out.append(Cancel(held.request.req, number))
+                if self._set.cancellation_allowed:
+                    self._out.append(CancelAttempt(held.request.request_number, number))
 
     def _give_up(self, held: Held) -> None:
         """The final answer of this director: refused where a retry is surely harmless, else failed."""
         may_have_run = any(attempt.may_have_run for attempt in held.attempts)
         if rules.may_refuse(held.cls, may_have_run):  # danger: refused clients that all come back together
-            pause = self._set.longest_pause * self._random.uniform(0.5, 1.0) if self._set.may_pause else 0.0
-            self._out.append(Refuse(held.request.req, pause, held.why))
+            pause = (
+                self._set.max_retry_after * self._random.uniform(0.5, 1.0)
+                if self._set.retry_after_allowed
+                else 0.0
+            )
+            self._out.append(Reject(held.request.request_number, pause, held.why))
         else:
-            self._out.append(Fail(held.request.req))
+            self._out.append(Fail(held.request.request_number))
         self._close(held)
--- a/edge_router/decision/rules.py
+++ b/edge_router/decision/rules.py
@@ -12,10 +12,10 @@
 from collections.abc import Mapping
 from enum import StrEnum
 
-from edge_router.decision.messages import Node, NodeId, Outcome
-from edge_router.decision.settings import ClassSettings, Effect, KeyGroup
+from edge_router.decision.messages import Endpoint, EndpointId, Outcome
+from edge_router.decision.settings import ClassSettings, DeduplicationScope, Idempotency
 
-PROVES_NOT_RUN = frozenset((Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT, Outcome.MISS))
+PROVES_NOT_RUN = frozenset((Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.MISS))
 
 
 class Denial(StrEnum):
@@ -61,37 +61,41 @@
 
 def repeat_until(cls: ClassSettings, first_sent: float | None) -> float:
     """The moment by which a repeat has to begin, after a first attempt that was sent then."""
-    if first_sent is None or cls.effect is not Effect.KEYED:
+    if first_sent is None or cls.idempotency is not Idempotency.WITH_KEY:
         return math.inf
-    return first_sent + cls.window
+    return first_sent + cls.deduplication_window
 
 
 def may_repeat(
     cls: ClassSettings,
     now: float,
-    first_node: NodeId | None,
+    first_node: EndpointId | None,
     first_sent: float | None,
-    candidate: Node,
-    listed: Mapping[NodeId, Node],
+    candidate: Endpoint,
+    listed: Mapping[EndpointId, Endpoint],
 ) -> bool:
     """Whether an attempt may go to the candidate, the first that may have run having gone to that node.
 
     Without such a first attempt it always may. A node that is listed no more is in no group but its own.
     """
-    if cls.effect is Effect.SAFE or first_node is None:
+    if cls.idempotency is Idempotency.IDEMPOTENT or first_node is None:
         return True
-    if cls.effect is Effect.UNSAFE or now >= repeat_until(cls, first_sent):
+    if cls.idempotency is Idempotency.NONE or now >= repeat_until(cls, first_sent):
         return False
-    if cls.group is KeyGroup.ALL:
+    if cls.deduplication_scope is DeduplicationScope.ALL:
         return True
     first = listed.get(first_node)
     if first is None:
-        return candidate.node == first_node
-    return candidate.zone == first.zone if cls.group is KeyGroup.ZONE else candidate.cell == first.cell
+        return candidate.endpoint_id == first_node
+    return (
+        candidate.zone == first.zone
+        if cls.deduplication_scope is DeduplicationScope.ZONE
+        else candidate.cell == first.cell
+    )
 
 
 def may_refuse(cls: ClassSettings, may_have_run: bool) -> bool:
     """Whether a refusal, which promises that a retry does no harm, is true of such a request."""
-    if cls.effect is Effect.SAFE or not may_have_run:
+    if cls.idempotency is Idempotency.IDEMPOTENT or not may_have_run:
         return True
-    return cls.effect is Effect.KEYED and cls.group is KeyGroup.ALL
+    return cls.idempotency is Idempotency.WITH_KEY and cls.deduplication_scope is DeduplicationScope.ALL
--- a/edge_router/decision/settings.py
+++ b/edge_router/decision/settings.py
@@ -9,15 +9,15 @@
 from enum import IntEnum
 
 
-class Effect(IntEnum):
+class Idempotency(IntEnum):
     """Whether repeating a request of the class does harm."""
 
-    SAFE = 0
-    KEYED = 1
-    UNSAFE = 2
+    IDEMPOTENT = 0
+    WITH_KEY = 1
+    NONE = 2
 
 
-class KeyGroup(IntEnum):
+class DeduplicationScope(IntEnum):
     """Which caches discard repeats of a keyed request together."""
 
     ALL = 0
@@ -30,18 +30,18 @@
     """One class of requests."""
 
     name: str
-    worth: float
-    late_worth: float
-    aim: float
-    aim_stretch: float
+    priority_weight: float
+    late_priority_weight: float
+    latency_objective: float
+    latency_objective_per_work: float
     deadline: float
-    effect: Effect
-    group: KeyGroup
-    window: float
-    fresh: float
-    stale: float
-    stale_worth: float
-    never_kept: bool
+    idempotency: Idempotency
+    deduplication_scope: DeduplicationScope
+    deduplication_window: float
+    freshness_lifetime: float
+    stale_lifetime: float
+    stale_priority_weight: float
+    uncacheable: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,38 +50,38 @@
 
     classes: tuple[ClassSettings, ...]
     zone: int
-    fleet: int
-    zone_directors: tuple[int, ...]
-    zone_link: tuple[float, ...]
-    client_pace: float
-    parent_kind: int
-    origin_kind: int
-    joins: bool
-    weighted: bool
-    may_bypass: bool
-    siblings: str
-    cold_from: float
-    warm_up: float
-    fall_multiple: float
-    fall_window: float
-    parent_cold_from: float
-    parent_warm_up: float
-    parent_fall_multiple: float
-    purge_grace: float
-    purge_done: float
-    drain_grace: float
-    most_attempts: int
-    second_copies: bool
-    may_cancel: bool
-    may_probe: bool
-    may_pause: bool
-    longest_pause: float
+    fleet_size: int
+    routers_by_zone: tuple[int, ...]
+    zone_link_bandwidth: tuple[float, ...]
+    client_bandwidth: float
+    parent_role: int
+    origin_role: int
+    coalesces_fills: bool
+    endpoints_weighted: bool
+    bypass_allowed: bool
+    sibling_fills: str
+    slow_start_initial_capacity: float
+    slow_start_duration: float
+    overload_factor: float
+    overload_window: float
+    parent_slow_start_initial_capacity: float
+    parent_slow_start_duration: float
+    parent_overload_factor: float
+    purge_notice_time: float
+    purge_settle_time: float
+    drain_grace_period: float
+    max_attempts: int
+    hedging_allowed: bool
+    cancellation_allowed: bool
+    health_checks_allowed: bool
+    retry_after_allowed: bool
+    max_retry_after: float
     connect_timeout: float
-    report_fields: tuple[str, ...]
-    list_by_asking: bool
+    load_report_fields: tuple[str, ...]
+    endpoint_list_polled: bool
     # Read by the edge router alone; the decisions do without them.
-    zones: tuple[str, ...] = ()
-    kinds: tuple[str, ...] = ()
-    most_held: int = 20_000
-    streams: int = 100
-    conn_idle: float = 15_000.0
+    zone_names: tuple[str, ...] = ()
+    role_names: tuple[str, ...] = ()
+    max_in_flight: int = 20_000
+    max_streams_per_connection: int = 100
+    connection_idle_timeout: float = 15_000.0
--- a/edge_router/discovery/change_log.py
+++ b/edge_router/discovery/change_log.py
@@ -7,9 +7,15 @@
 from ipaddress import IPv4Address
 from typing import Any, NamedTuple
 
-from edge_router.decision.messages import Node, NodeState
+from edge_router.decision.messages import Endpoint, EndpointState
 from edge_router.decision.settings import Settings
-from edge_router.discovery.events import Member, MembershipSink, MembersTold, PurgeTold, Told
+from edge_router.discovery.events import (
+    DiscoveryEvent,
+    DiscoveryListener,
+    EndpointAddress,
+    EndpointsChanged,
+    ObjectPurged,
+)
 from edge_router.protocol.buffer import Buffer
 
 MOST_FRAME = 1 << 20  # bytes of the longest frame: a list of many thousand nodes
@@ -22,8 +28,8 @@
 _OBJECT = struct.Struct(">QQ")
 _GROUP = struct.Struct(">HQ")
 _HELLO = struct.Struct(">Q")
-_STATES = {0: NodeState.READY, 1: NodeState.DRAINING, 2: NodeState.GONE}
-_LIFECYCLES = {"up": NodeState.READY, "draining": NodeState.DRAINING, "removed": NodeState.GONE}
+_STATES = {0: EndpointState.READY, 1: EndpointState.DRAINING, 2: EndpointState.GONE}
+_LIFECYCLES = {"up": EndpointState.READY, "draining": EndpointState.DRAINING, "removed": EndpointState.GONE}
 
 
 class ChangeLogError(Exception):
@@ -52,15 +58,15 @@
         yield Frame(number, kind, buffer.take(length - _HEAD.size))
 
 
-def _members(payload: bytes) -> tuple[Member, ...]:
+def _members(payload: bytes) -> tuple[EndpointAddress, ...]:
     """The records of a list. A state that is not known takes no new work, like a node that drains."""
     return tuple(
-        Member(
-            Node(
+        EndpointAddress(
+            Endpoint(
                 node,
                 kind,
                 float(started),
-                _STATES.get(state, NodeState.DRAINING),
+                _STATES.get(state, EndpointState.DRAINING),
                 cell,
                 zone,
                 weight / 1000.0,
@@ -72,17 +78,17 @@
     )
 
 
-def _event(frame: Frame) -> Told | None:
+def _event(frame: Frame) -> DiscoveryEvent | None:
     """What a frame tells; None if nothing, or nothing that is known here."""
     try:
         if frame.kind in (WHOLE, CHANGES):
-            return MembersTold(frame.kind == WHOLE, _members(frame.payload))
+            return EndpointsChanged(frame.kind == WHOLE, _members(frame.payload))
         if frame.kind == OBJECT:
             key, time = _OBJECT.unpack(frame.payload)
-            return PurgeTold(float(time), 0, key)
+            return ObjectPurged(float(time), 0, key)
         if frame.kind == GROUP:
             group, time = _GROUP.unpack(frame.payload)
-            return PurgeTold(float(time), group, 0)
+            return ObjectPurged(float(time), group, 0)
     except struct.error as error:
         raise ChangeLogError(f"event {frame.number} of kind {frame.kind}: {error}") from error
     return None
@@ -100,7 +106,7 @@
         """The first bytes on a connection: later events than the last are wanted."""
         return _HELLO.pack(self.last)
 
-    def take(self, frame: Frame, sink: MembershipSink) -> bool:
+    def take(self, frame: Frame, sink: DiscoveryListener) -> bool:
         """Tells the sink of an event that is new; False if some before it are missing: ask for them anew."""
         if frame.kind == NOTHING:
             return True
@@ -112,7 +118,7 @@
         event = _event(frame)
         self.last = frame.number
         if event is not None:
-            sink.told(event)
+            sink.on_discovery_event(event)
         return True
 
     def _accept_gap(self, number: int) -> bool:
@@ -136,33 +142,33 @@
     return names.index(name)
 
 
-def member_from(entry: dict[str, Any], settings: Settings) -> Member:
+def member_from(entry: dict[str, Any], settings: Settings) -> EndpointAddress:
     """One node of the JSON."""
     ident, (host, _, port) = str(entry["instanceId"]), str(entry["hostPort"]).rpartition(":")
     if not ident.startswith("s-"):
         raise ChangeLogError(f"a node is called {ident!r}")
-    node = Node(
+    node = Endpoint(
         int(ident[2:], 16),
-        _place(settings.kinds, str(entry["machineType"])),
+        _place(settings.role_names, str(entry["machineType"])),
         float(entry.get("startedAtMs", 0)),
-        _LIFECYCLES.get(str(entry["lifecycle"]), NodeState.DRAINING),
+        _LIFECYCLES.get(str(entry["lifecycle"]), EndpointState.DRAINING),
         int(entry.get("cell", 0)),
-        _place(settings.zones, str(entry["zone"])),
+        _place(settings.zone_names, str(entry["zone"])),
         float(entry.get("weight", 0.0)),
     )
-    return Member(node, host, int(port))
+    return EndpointAddress(node, host, int(port))
 
 
-def known_events(known: dict[str, Any], settings: Settings) -> Iterator[Told]:
+def known_events(known: dict[str, Any], settings: Settings) -> Iterator[DiscoveryEvent]:
     """The events that the configuration holds; raises ChangeLogError if they can't be read."""
     try:
         for event in known.get("results", []):
             if fleet := event.get("fleet"):
                 members = tuple(member_from(entry, settings) for entry in fleet["instances"])
-                yield MembersTold(bool(fleet.get("reset", False)), members)
+                yield EndpointsChanged(bool(fleet.get("reset", False)), members)
             elif purge := event.get("invalidate"):
                 key = int(str(purge["object"]), 16) if "object" in purge else 0
-                yield PurgeTold(float(purge["time"]), int(purge.get("bucket", 0)), key)
+                yield ObjectPurged(float(purge["time"]), int(purge.get("bucket", 0)), key)
     except KeyError as error:
         raise ChangeLogError(f"an event lacks {error}") from error
     except (AttributeError, TypeError, ValueError) as error:
--- a/edge_router/discovery/change_log_watcher.py
+++ b/edge_router/discovery/change_log_watcher.py
@@ -7,7 +7,7 @@
 import trio
 
 from edge_router.discovery.change_log import MOST_FRAME, ChangeLogError, Follower, frames
-from edge_router.discovery.events import MembershipSink
+from edge_router.discovery.events import DiscoveryListener
 from edge_router.protocol.buffer import Buffer, BufferFullError
 from edge_router.runtime.event_log import log
 
@@ -44,14 +44,14 @@
             self._address = (host, port)
             self._scope.cancel()
 
-    async def run(self, sink: MembershipSink) -> None:
+    async def run(self, sink: DiscoveryListener) -> None:
         """Follows the log for good, wherever it is."""
         while True:
             with trio.CancelScope() as self._scope:
                 await self._keep(sink)
             log("changelog-moved", to=":".join(map(str, self._address)), last=self._follower.last)
 
-    async def _keep(self, sink: MembershipSink) -> None:
+    async def _keep(self, sink: DiscoveryListener) -> None:
         """Connects again and again, with a short back-off."""
         wait, patience = BACK_OFF[0], CONNECT_WAIT[0]
         while True:
@@ -69,7 +69,7 @@
             patience = min(2 * patience, CONNECT_WAIT[1]) if why == NOT_UP else CONNECT_WAIT[0]
             await trio.sleep(wait * self._random.uniform(1.0 - JITTER, 1.0))
 
-    async def _follow(self, sink: MembershipSink, patience: float) -> str:
+    async def _follow(self, sink: DiscoveryListener, patience: float) -> str:
         """Follows the log over one connection; returns why it ended. Patience is in seconds."""
         with trio.socket.socket() as sock:
             with trio.move_on_after(patience) as waiting:
@@ -80,7 +80,7 @@
             log("changelog-up", last=self._follower.last)
             return await self._take_frames(sock, sink)
 
-    async def _take_frames(self, sock: trio.socket.SocketType, sink: MembershipSink) -> str:
+    async def _take_frames(self, sock: trio.socket.SocketType, sink: DiscoveryListener) -> str:
         """Takes in what comes until the connection ends or makes no progress; returns why.
 
         Guards against a log that was cut off or stops in the middle of a frame: the connection stays open,
--- a/edge_router/discovery/events.py
+++ b/edge_router/discovery/events.py
@@ -4,44 +4,44 @@
 
 from typing import NamedTuple, Protocol
 
-from edge_router.decision.messages import Node
+from edge_router.decision.messages import Endpoint
 
 
-class Member(NamedTuple):
+class EndpointAddress(NamedTuple):
     """A node as listed, and where it listens for us."""
 
-    node: Node
+    endpoint: Endpoint
     host: str
     port: int
 
 
-class MembersTold(NamedTuple):
+class EndpointsChanged(NamedTuple):
     """The whole list, or what has changed in it."""
 
-    whole: bool
-    members: tuple[Member, ...]
+    complete: bool
+    endpoints: tuple[EndpointAddress, ...]
 
 
-class PurgeTold(NamedTuple):
+class ObjectPurged(NamedTuple):
     """An object (or with key 0 a group) was purged at that Unix millisecond."""
 
-    time: float
-    group: int
-    key: int
+    unix_time: float
+    purge_group: int
+    object_key: int
 
 
-Told = MembersTold | PurgeTold
+DiscoveryEvent = EndpointsChanged | ObjectPurged
 
 
-class MembershipSink(Protocol):
+class DiscoveryListener(Protocol):
     """Who takes in what is told, in order."""
 
-    def told(self, event: Told) -> None:
+    def on_discovery_event(self, event: DiscoveryEvent) -> None:
         """One event of the list's keeper."""
 
 
-class Membership(Protocol):
+class DiscoverySource(Protocol):
     """A keeper of the list: tells the sink of every change for as long as it runs."""
 
-    async def run(self, sink: MembershipSink) -> None:
+    async def run(self, sink: DiscoveryListener) -> None:
         """Follows the list; never ends by itself and lets no error of the network out."""
--- a/edge_router/model_checker/fingerprint/common.py
+++ b/edge_router/model_checker/fingerprint/common.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from typing import Any, NamedTuple
 
-from edge_router.decision.messages import Node
+from edge_router.decision.messages import Endpoint
 from edge_router.proxy.request_table import OpenRequest
 
 WIRING = "points to another part that is encoded on its own, and never changes"
@@ -46,7 +46,7 @@
 
     def __init__(self, now: float, requests: Iterable[OpenRequest]) -> None:
         self.now = now  # Unix milliseconds
-        self._places = {request.req: int(request.asked.txn, 16) for request in requests}
+        self._places = {request.req: int(request.asked.request_id, 16) for request in requests}
 
     def time(self, moment: float) -> float:
         """Milliseconds from now to a Unix millisecond; 0 stays 0."""
@@ -56,12 +56,12 @@
         """The place in the scope of an open request; -1 for one that has ended."""
         return self._places.get(req, -1)
 
-    def node(self, node: Node) -> tuple[Any, ...]:
+    def node(self, node: Endpoint) -> tuple[Any, ...]:
         """An entry of the endpoint list."""
         return (
-            node.node,
-            node.kind,
-            self.time(node.started),
+            node.endpoint_id,
+            node.role,
+            self.time(node.started_at),
             int(node.state),
             node.cell,
             node.zone,
--- a/edge_router/model_checker/fingerprint/proxy.py
+++ b/edge_router/model_checker/fingerprint/proxy.py
@@ -5,7 +5,7 @@
 import math
 from typing import Any
 
-from edge_router.decision.messages import Get
+from edge_router.decision.messages import StartAttempt
 from edge_router.discovery import endpoint_table, purge_history
 from edge_router.model_checker.fingerprint.common import (
     DERIVED,
@@ -131,7 +131,7 @@
 
 def _members(route: Route, frame: Frame) -> tuple[Any, ...]:
     return tuple(
-        (key, frame.node(member.node), member.host, member.port)
+        (key, frame.node(member.endpoint), member.host, member.port)
         for key, member in sorted(route.nodes._members.items())
     )
 
@@ -160,7 +160,7 @@
 
 def _request(request: request_table.OpenRequest, frame: Frame) -> tuple[Any, ...]:
     return (
-        int(request.asked.txn, 16),
+        int(request.asked.request_id, 16),
         frame.time(request.deadline),
         request.holds,
         request.answered,
@@ -175,16 +175,16 @@
     return -1 if alarm is None else int(alarm.call is not None)
 
 
-def _order(order: Get, frame: Frame) -> tuple[Any, ...]:
+def _order(order: StartAttempt, frame: Frame) -> tuple[Any, ...]:
     """An order of the decision module, without the number of its request."""
-    begin_by = order.begin_by if order.begin_by < math.inf else 0.0
+    begin_by = order.start_before if order.start_before < math.inf else 0.0
     return (
-        order.node,
-        frame.time(order.cut_at),
-        order.source,
-        order.keep,
-        rounded(order.age),
-        order.how,
+        order.endpoint_id,
+        frame.time(order.deadline),
+        order.source_id,
+        order.cache_rank,
+        rounded(order.max_age),
+        order.fill_mode,
         frame.time(begin_by),
     )
 
--- a/edge_router/model_checker/model/caches.py
+++ b/edge_router/model_checker/model/caches.py
@@ -232,7 +232,7 @@
         return all(
             attempt is None
             or not (attempt.ended or attempt.outdated)
-            and nodes.ready(attempt.order.node)
-            and nodes.ready(attempt.order.source)
+            and nodes.ready(attempt.order.endpoint_id)
+            and nodes.ready(attempt.order.source_id)
             for attempt in attempts
         )
--- a/edge_router/model_checker/model/change_log.py
+++ b/edge_router/model_checker/model/change_log.py
@@ -4,9 +4,9 @@
 
 import struct
 
-from edge_router.decision.messages import NodeState
+from edge_router.decision.messages import EndpointState
 from edge_router.discovery.change_log import Follower, frames
-from edge_router.discovery.events import MembersTold, PurgeTold, Told
+from edge_router.discovery.events import DiscoveryEvent, EndpointsChanged, ObjectPurged
 from edge_router.model_checker.model.endpoints import Endpoints
 from edge_router.model_checker.model.harness import Harness
 from edge_router.model_checker.properties import ObservedPurge
@@ -50,25 +50,25 @@
     def _append_nodes(self, kind: int, names: list[str]) -> None:
         self._append(kind, b"".join(map(self._endpoints.record, names)))
 
-    def _change_node(self, name: str, state: NodeState, started: float | None = None) -> None:
+    def _change_node(self, name: str, state: EndpointState, started: float | None = None) -> None:
         self._endpoints.set_state(name, state, started)
         self._append_nodes(CHANGED_NODES, [name])
 
     def drain(self, name: str) -> None:
         """A node begins to drain."""
-        self._change_node(name, NodeState.DRAINING)
+        self._change_node(name, EndpointState.DRAINING)
 
     def undrain(self, name: str) -> None:
         """A draining node is ready again."""
-        self._change_node(name, NodeState.READY)
+        self._change_node(name, EndpointState.READY)
 
     def remove(self, name: str) -> None:
         """A node is gone."""
-        self._change_node(name, NodeState.GONE)
+        self._change_node(name, EndpointState.GONE)
 
     def restart(self, name: str) -> None:
         """A node has started anew."""
-        self._change_node(name, NodeState.READY, round(self._harness.now))
+        self._change_node(name, EndpointState.READY, round(self._harness.now))
 
     def replace(self, name: str) -> None:
         """A node is gone, and a new one has its address."""
@@ -117,15 +117,17 @@
         buffer.feed(data)
         return all(self.follower.take(frame, self) for frame in frames(buffer))
 
-    def told(self, event: Told) -> None:
+    def on_discovery_event(self, event: DiscoveryEvent) -> None:
         """Called by the follower with each event; passes it to the observer, then to the router."""
         self.received += 1
         observer = self._harness.observer
-        if isinstance(event, MembersTold):
-            observer.endpoints_received(tuple(member.node for member in event.members), event.whole)
-        elif isinstance(event, PurgeTold):
-            observer.purge_received(ObservedPurge(self._harness.now, event.time, event.group, event.key))
-        self._harness.route.told(event)
+        if isinstance(event, EndpointsChanged):
+            observer.endpoints_received(tuple(member.endpoint for member in event.endpoints), event.complete)
+        elif isinstance(event, ObjectPurged):
+            observer.purge_received(
+                ObservedPurge(self._harness.now, event.unix_time, event.purge_group, event.object_key)
+            )
+        self._harness.route.on_discovery_event(event)
 
     def check_followed(self) -> None:
         """Checks that the router has received each event once, while it is connected."""
--- a/edge_router/model_checker/model/clients.py
+++ b/edge_router/model_checker/model/clients.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass, replace
 from enum import StrEnum
 
-from edge_router.decision.messages import Node, NodeState, Request
+from edge_router.decision.messages import Endpoint, EndpointState, RequestReceived
 from edge_router.decision.policy import Ring, part_key
-from edge_router.decision.settings import Effect
+from edge_router.decision.settings import Idempotency
 from edge_router.model_checker import scope as bounds
 from edge_router.model_checker.model.endpoints import FIRST_CACHE
 from edge_router.model_checker.model.harness import Harness
@@ -59,9 +59,9 @@
 
 def _object_key(cls: str, caches: tuple[int, ...]) -> int:
     """The least object of the class whose caches in hash order are those, so that c1 is always its home."""
-    ring = Ring([Node(node, CACHE, 0.0, NodeState.READY, 0, 1, 1.0) for node in caches], False)
+    ring = Ring([Endpoint(node, CACHE, 0.0, EndpointState.READY, 0, 1, 1.0) for node in caches], False)
     key = 1000 * (1 + bounds.CLASS_ORDER.index(cls))
-    while ring.order(part_key(Request(1, 0, key, 0.0, 0.0, 0, 0))) != caches:
+    while ring.order(part_key(RequestReceived(1, 0, key, 0.0, 0.0, 0, 0))) != caches:
         key += 1
     return key
 
@@ -86,7 +86,7 @@
 
     def purged_object(self) -> int:
         """The object that a purge strikes: that of the first class which is cached at all."""
-        cached = [cls for cls in self._scope.requests if not CLASSES[cls].never_kept]
+        cached = [cls for cls in self._scope.requests if not CLASSES[cls].uncacheable]
         return self._objects[cached[0] if cached else self._scope.requests[0]]
 
     def _record_received(self, kind: int, ident: int, content: bytes) -> None:
@@ -125,9 +125,9 @@
             txn=txn,
             item=self._objects[cls],
             ttl=TTL,
-            etag=ETAG if self._scope.seen and not settings.never_kept else None,
-            body=BODY if settings.never_kept else b"",
-            idempotency_key=IDEMPOTENCY_KEY if settings.effect is Effect.KEYED else None,
+            etag=ETAG if self._scope.seen and not settings.uncacheable else None,
+            body=BODY if settings.uncacheable else b"",
+            idempotency_key=IDEMPOTENCY_KEY if settings.idempotency is Idempotency.WITH_KEY else None,
         )
         self.session.feed(request_bytes(place + 1, request))
 
--- a/edge_router/model_checker/model/endpoints.py
+++ b/edge_router/model_checker/model/endpoints.py
@@ -5,7 +5,7 @@
 import struct
 from dataclasses import dataclass
 
-from edge_router.decision.messages import NodeState
+from edge_router.decision.messages import EndpointState
 from edge_router.model_checker.scope import CACHE, ORIGIN, PARENT, Scope
 
 FIRST_CACHE = 0x11  # node id of c1
@@ -19,7 +19,7 @@
 
 _RECORD = struct.Struct(">IIHBBBHIQ")
 _KINDS = {"c": CACHE, "p": PARENT, "o": ORIGIN, "n": CACHE}  # by the first letter of the name
-_STATE_CODES = {NodeState.READY: 0, NodeState.DRAINING: 1, NodeState.GONE: 2}
+_STATE_CODES = {EndpointState.READY: 0, EndpointState.DRAINING: 1, EndpointState.GONE: 2}
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +27,7 @@
     """A node as the change log lists it."""
 
     name: str
-    state: NodeState
+    state: EndpointState
     started: float  # Unix milliseconds
 
 
@@ -49,17 +49,17 @@
         self.nodes[name] = node
         self.ports[name] = port
         self.processes[port] = node
-        self.members[node] = Endpoint(name, NodeState.READY, started)
+        self.members[node] = Endpoint(name, EndpointState.READY, started)
 
     def name_of(self, node: int) -> str:
         """The name of a node."""
         return self.members[node].name
 
-    def state_of(self, name: str) -> NodeState:
+    def state_of(self, name: str) -> EndpointState:
         """The state that the list gives for a node."""
         return self.members[self.nodes[name]].state
 
-    def set_state(self, name: str, state: NodeState, started: float | None = None) -> None:
+    def set_state(self, name: str, state: EndpointState, started: float | None = None) -> None:
         """Changes a node's state, and its start (Unix milliseconds) if one is given."""
         node = self.nodes[name]
         since = self.members[node].started if started is None else started
@@ -68,7 +68,7 @@
     def replace(self, name: str) -> str:
         """Removes a node and lets a new one listen at its address; returns the new name."""
         new_name = self._next_cache_name() if name[0] == "c" else f"{name[0]}{int(name[1:]) + 5}"
-        self.set_state(name, NodeState.GONE)
+        self.set_state(name, EndpointState.GONE)
         self._add(new_name, self.nodes[name] + REPLACED_BY, self.ports[name], 0.0)
         return new_name
 
--- a/edge_router/model_checker/model/harness.py
+++ b/edge_router/model_checker/model/harness.py
@@ -5,7 +5,7 @@
 import math
 from typing import Any
 
-from edge_router.decision.messages import Action, Ended, Event, Get
+from edge_router.decision.messages import Action, AttemptEnded, Event, StartAttempt
 from edge_router.model_checker import scope as bounds
 from edge_router.model_checker.model.endpoints import Endpoints
 from edge_router.model_checker.peers import ServerChannel
@@ -119,14 +119,14 @@
     def _attempt_number(self, channel: ServerChannel, txn: str) -> int:
         """The number of the request's attempt on that connection; -1 if the router has none."""
         for attempt, link in self.route.send._where.items():
-            if link.connection is channel and attempt.request.asked.txn == txn:
+            if link.connection is channel and attempt.request.asked.request_id == txn:
                 return attempt.number
         return -1
 
     def txn_of(self, req: int) -> str | None:
         """The id of an open request; None for one that is over."""
         request = self.route.requests.get(req)
-        return request.asked.txn if request is not None else None
+        return request.asked.request_id if request is not None else None
 
     def on_log_line(self, event: str, fields: dict[str, object]) -> None:
         """The core has logged an event."""
@@ -239,10 +239,10 @@
 
     def __call__(self, now: float, event: Event) -> list[Action]:
         harness = self._harness
-        if isinstance(event, Ended) and (txn := harness.txn_of(event.req)):
-            harness.observer.attempt_ended(txn, event.attempt, event.outcome)
+        if isinstance(event, AttemptEnded) and (txn := harness.txn_of(event.request_number)):
+            harness.observer.attempt_ended(txn, event.attempt_index, event.outcome)
         actions = type(self._director).handle(self._director, now, event)
         for action in actions:
-            if isinstance(action, Get) and (txn := harness.txn_of(action.req)):
+            if isinstance(action, StartAttempt) and (txn := harness.txn_of(action.request_number)):
                 harness.observer.attempt_ordered(txn)
         return actions
--- a/edge_router/model_checker/model/router_model.py
+++ b/edge_router/model_checker/model/router_model.py
@@ -57,8 +57,8 @@
             harness.observer.check_overdue(harness.now)
         state.change_log.check_followed()
         for attempt in harness.route.send._where:
-            if attempt.request.answered and harness.settings.may_cancel:
-                cls = attempt.request.asked.cls
+            if attempt.request.answered and harness.settings.cancellation_allowed:
+                cls = attempt.request.asked.class_name
                 harness.violated("cancelled", f"attempt {attempt.number} of {cls} stays out")
         state.caches.check_connections()
 
--- a/edge_router/model_checker/model/steps.py
+++ b/edge_router/model_checker/model/steps.py
@@ -8,7 +8,7 @@
 import math
 from collections.abc import Callable
 
-from edge_router.decision.messages import NodeState
+from edge_router.decision.messages import EndpointState
 from edge_router.model_checker.model.clients import txn_id
 from edge_router.model_checker.model.state import ModelState
 from edge_router.model_checker.scope import ALL_FAULTS, ANSWERS, NORMAL_ANSWERS
@@ -138,9 +138,9 @@
         if name not in state.endpoints.nodes:
             continue
         node_state = state.endpoints.state_of(name)
-        if node_state is NodeState.READY:
+        if node_state is EndpointState.READY:
             possible: tuple[str, ...] = ("drain", "gone", "replace", "restart")
-        elif node_state is NodeState.DRAINING:
+        elif node_state is EndpointState.DRAINING:
             possible = ("gone", "back")
         else:
             possible = ()
--- a/edge_router/model_checker/properties.py
+++ b/edge_router/model_checker/properties.py
@@ -10,8 +10,8 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-from edge_router.decision.messages import Node, NodeState, Outcome
-from edge_router.decision.settings import ClassSettings, Effect, KeyGroup
+from edge_router.decision.messages import Endpoint, EndpointState, Outcome
+from edge_router.decision.settings import ClassSettings, DeduplicationScope, Idempotency
 from edge_router.model_checker.machine import Violation
 from edge_router.proxy.response_handler import SLACK
 
@@ -179,9 +179,9 @@
 TOLERANCE = 1.0  # ms by which rounding may move a time
 NOT_RUN_CODES = ("404", "503", "504")
 COPY_CODES = ("200", "304")
-OUTCOME_OF_CODE = {"404": Outcome.MISS, "503": Outcome.FULL, "504": Outcome.MOOT}
-UNSENT_OUTCOMES = (Outcome.CONNECT_FAILED, Outcome.MOOT, Outcome.CANCELLED)
-NOT_RUN_OUTCOMES = (Outcome.MISS, Outcome.FULL, Outcome.MOOT, Outcome.CONNECT_FAILED)
+OUTCOME_OF_CODE = {"404": Outcome.MISS, "503": Outcome.OVERLOADED, "504": Outcome.NOT_SENT}
+UNSENT_OUTCOMES = (Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.CANCELLED)
+NOT_RUN_OUTCOMES = (Outcome.MISS, Outcome.OVERLOADED, Outcome.NOT_SENT, Outcome.CONNECT_FAILED)
 
 
 class Observer:
@@ -191,7 +191,7 @@
         self._classes = classes
         self._most_attempts = most_attempts
         self.violations: list[Violation] = []
-        self.nodes: dict[int, Node] = {}
+        self.nodes: dict[int, Endpoint] = {}
         self.purges: list[ObservedPurge] = []
         self.requests: dict[str, ObservedRequest] = {}
 
@@ -203,19 +203,19 @@
 
     # -- the change log --
 
-    def endpoints_received(self, nodes: tuple[Node, ...], complete: bool) -> None:
+    def endpoints_received(self, nodes: tuple[Endpoint, ...], complete: bool) -> None:
         """The router was sent a complete list of nodes, or the nodes that have changed."""
         if complete:
             self.nodes = {}
         for node in nodes:
-            self.nodes[node.node] = node
+            self.nodes[node.endpoint_id] = node
 
     def purge_received(self, purge: ObservedPurge) -> None:
         """The router was notified of a purge."""
         self.purges.append(purge)
 
     def _ready(self, node: int) -> bool:
-        return node in self.nodes and self.nodes[node].state is NodeState.READY
+        return node in self.nodes and self.nodes[node].state is EndpointState.READY
 
     # -- attempts on sockets --
 
@@ -241,19 +241,19 @@
         if request.attempt(number) is not None:
             self.violated("no-repeat", f"attempt {number} of {name} is written twice")
         for sent in request.attempts:
-            if sent.not_run or cls.effect is Effect.SAFE:
+            if sent.not_run or cls.idempotency is Idempotency.IDEMPOTENT:
                 continue
-            if cls.effect is Effect.UNSAFE:
+            if cls.idempotency is Idempotency.NONE:
                 self.violated("no-repeat", f"attempt {number} of {name} goes out; {sent.number} may have run")
             elif not self._same_group(cls, sent.node, node):
                 self.violated("no-repeat", f"attempt {number} of {name} leaves the group of {sent.number}")
-            elif now - sent.sent_at > cls.window + TOLERANCE:
+            elif now - sent.sent_at > cls.deduplication_window + TOLERANCE:
                 self.violated("no-repeat", f"attempt {number} of {name} goes out after its window")
 
     def _same_group(self, cls: ClassSettings, one: int, other: int) -> bool:
-        if cls.group is KeyGroup.ALL or one == other:
+        if cls.deduplication_scope is DeduplicationScope.ALL or one == other:
             return True
-        if cls.group is KeyGroup.ZONE:
+        if cls.deduplication_scope is DeduplicationScope.ZONE:
             return self.nodes[one].zone == self.nodes[other].zone
         return self.nodes[one].cell == self.nodes[other].cell
 
@@ -333,8 +333,10 @@
     def _check_refusal(self, request: ObservedRequest) -> None:
         cls = self._classes[request.cls]
         unsure = [attempt for attempt in request.attempts if not attempt.not_run]
-        bound_to_group = cls.effect is Effect.KEYED and cls.group is not KeyGroup.ALL
-        if unsure and (cls.effect is Effect.UNSAFE or bound_to_group):
+        bound_to_group = (
+            cls.idempotency is Idempotency.WITH_KEY and cls.deduplication_scope is not DeduplicationScope.ALL
+        )
+        if unsure and (cls.idempotency is Idempotency.NONE or bound_to_group):
             self.violated(
                 "harmless-refusal", f"{request.cls} is refused; attempt {unsure[0].number} may have run"
             )
@@ -344,12 +346,15 @@
             self.violated("as-made", f"{request.cls} is served {body[:24]!r}, which no cache made for it")
             return
         cls, copy = self._classes[request.cls], request.copies[body]
-        if cls.never_kept:
+        if cls.uncacheable:
             return
         for purge in self.purges[: copy.known_purges]:
             if copy.born < purge.purged_at - SLACK - TOLERANCE:
                 self._serves_purged(copy, purge)
-        if cls.fresh and copy.born < copy.sent_at - cls.fresh - cls.stale - SLACK - TOLERANCE:
+        if (
+            cls.freshness_lifetime
+            and copy.born < copy.sent_at - cls.freshness_lifetime - cls.stale_lifetime - SLACK - TOLERANCE
+        ):
             self.violated("not-too-old", f"a copy {copy.sent_at - copy.born:.0f} ms old")
 
     def _serves_purged(self, copy: ObservedCopy, purge: ObservedPurge) -> None:
--- a/edge_router/proxy/accounting.py
+++ b/edge_router/proxy/accounting.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from collections.abc import Callable
 
-from edge_router.decision.messages import Ended, Event, Note, Outcome
+from edge_router.decision.messages import AttemptEnded, Event, FillResult, Outcome
 from edge_router.decision.settings import Settings
 from edge_router.proxy.admission import Admit
 from edge_router.proxy.invariants import RuleCheck
@@ -13,7 +13,7 @@
 from edge_router.runtime.clock import Clock
 from edge_router.runtime.event_log import log, log_some
 
-TOLD = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.TIMEOUT, Outcome.RESET, Outcome.ERROR)
+TOLD = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.TIMEOUT, Outcome.RESET, Outcome.ERROR)
 
 
 class Book:
@@ -44,25 +44,33 @@
             attempt.alarm.off()
         self.counts[outcome.name.lower()] += 1
         if note:
-            self.counts[f"note_{Note(note).name.lower()}"] += 1
+            self.counts[f"note_{FillResult(note).name.lower()}"] += 1
         request, order = attempt.request, attempt.order
         took = self._clock.now() - (attempt.written_at or attempt.ordered_at)
         if outcome in TOLD:
             log_some(
                 "attempt-failed",
-                req=request.asked.txn,
+                req=request.asked.request_id,
                 outcome=outcome.name.lower(),
-                node=f"s-{order.node:08x}",
-                source=f"s-{order.source:08x}",
-                cls=request.asked.cls,
-                kb=request.asked.size,
+                node=f"s-{order.endpoint_id:08x}",
+                source=f"s-{order.source_id:08x}",
+                cls=request.asked.class_name,
+                kb=request.asked.size_kb,
                 note=note,
                 took=took,
                 attempt=attempt.number,
             )
         self._post(
-            Ended(
-                request.req, attempt.number, order.node, outcome, took, request.answered, note, waited, load
+            AttemptEnded(
+                request.req,
+                attempt.number,
+                order.endpoint_id,
+                outcome,
+                took,
+                request.answered,
+                note,
+                waited,
+                load,
             )
         )
         self.close_if_over(request)
--- a/edge_router/proxy/admission.py
+++ b/edge_router/proxy/admission.py
@@ -5,7 +5,7 @@
 import random
 
 from edge_router.decision.settings import Settings
-from edge_router.proxy.exchange import Asked
+from edge_router.proxy.exchange import IncomingRequest
 from edge_router.proxy.request_table import OpenRequest, OpenRequests
 from edge_router.runtime.clock import CpuCredit
 from edge_router.runtime.memory_budget import Budget
@@ -28,28 +28,32 @@
         """The pace is that of one transfer, in bytes a second; 0 if it is not told."""
         self.cpu = CpuCredit()
         self._random = random.Random(seed)
-        self._longest_pause = settings.longest_pause if settings.may_pause else 0.0
-        mean = sum(cls.worth for cls in settings.classes) / max(1, len(settings.classes))
-        self._priority = [min(2.0, cls.worth / mean) if mean > 0 else 1.0 for cls in settings.classes]
+        self._longest_pause = settings.max_retry_after if settings.retry_after_allowed else 0.0
+        mean = sum(cls.priority_weight for cls in settings.classes) / max(1, len(settings.classes))
+        self._priority = [
+            min(2.0, cls.priority_weight / mean) if mean > 0 else 1.0 for cls in settings.classes
+        ]
         self._patience = [
-            max(LEAST_PATIENCE, PATIENCE * priority * cls.aim)
+            max(LEAST_PATIENCE, PATIENCE * priority * cls.latency_objective)
             for priority, cls in zip(self._priority, settings.classes, strict=True)
         ]
         self._requests = requests
         self._budget = budget
-        self._most = min(settings.most_held, MOST_OPEN)
-        self._bytes_per_kb = pace / settings.client_pace if settings.client_pace > 0 and pace > 0 else 1000.0
+        self._most = min(settings.max_in_flight, MOST_OPEN)
+        self._bytes_per_kb = (
+            pace / settings.client_bandwidth if settings.client_bandwidth > 0 and pace > 0 else 1000.0
+        )
         self.latest = float("inf")  # once the router stops, all is answered by this Unix millisecond
 
-    def enter(self, now: float, asked: Asked) -> OpenRequest | None:
+    def enter(self, now: float, asked: IncomingRequest) -> OpenRequest | None:
         """The request, now open; None if there is no room for it and its answer, or its time is over."""
-        if asked.unread_for >= asked.ttl:
+        if asked.time_unread >= asked.timeout:
             return None
-        holds = len(asked.body) + min(MOST_ANSWER, round(asked.size * self._bytes_per_kb))
+        holds = len(asked.body) + min(MOST_ANSWER, round(asked.size_kb * self._bytes_per_kb))
         if len(self._requests) >= self._most or not self._budget.has(holds):
             return None
         self._budget.take(holds)
-        left = min(asked.ttl, LONGEST) - asked.unread_for - MARGIN
+        left = min(asked.timeout, LONGEST) - asked.time_unread - MARGIN
         deadline = min(now + max(1.0, left), self.latest)
         return self._requests.add(asked, deadline, holds)
 
--- a/edge_router/proxy/dispatch.py
+++ b/edge_router/proxy/dispatch.py
@@ -8,7 +8,7 @@
 from functools import partial
 
 from edge_router.decision import rules
-from edge_router.decision.messages import Get, How, NodeId, Outcome
+from edge_router.decision.messages import EndpointId, FillMode, Outcome, StartAttempt
 from edge_router.decision.settings import Settings
 from edge_router.discovery.endpoint_table import NodeTable
 from edge_router.protocol import resp
@@ -26,10 +26,10 @@
 SWEEP = 200.0
 STUCK = 400.0  # ms without a byte in the middle of an answer, after which its connection is of no use
 MODES = (
-    (How.JOIN, "wait-for"),
-    (How.HELD_ONLY, "no-fetch"),
-    (How.NO_PARENT_COPY, "no-keep"),
-    (How.RENEW, "background"),
+    (FillMode.COALESCE, "wait-for"),
+    (FillMode.CACHED_ONLY, "no-fetch"),
+    (FillMode.NO_PARENT_CACHING, "no-keep"),
+    (FillMode.BACKGROUND_REFRESH, "background"),
 )
 
 # Opens a connection for its owner, to that address, within so many seconds.
@@ -40,30 +40,30 @@
     """The words of a fetch."""
     order, asked = attempt.order, attempt.request.asked
     fields = [
-        ("cls", asked.cls),
-        ("item", asked.item),
-        ("chunk", asked.chunk),
-        ("limit", str(max(1, int(order.cut_at - now)))),
+        ("cls", asked.class_name),
+        ("item", asked.object_id),
+        ("chunk", asked.segment_text),
+        ("limit", str(max(1, int(order.deadline - now)))),
     ]
     if asked.idempotency_key:
         fields.append(("nonce", asked.idempotency_key))
-    if order.source != order.node:
-        fields.append(("from", f"s-{order.source:08x}"))
-    if order.keep:
-        fields.append(("rank", str(order.keep)))
-    if order.age > 0:
-        fields.append(("oldest", str(max(1, int(order.age)))))
-    if mode := "+".join(word for bit, word in MODES if order.how & bit):
+    if order.source_id != order.endpoint_id:
+        fields.append(("from", f"s-{order.source_id:08x}"))
+    if order.cache_rank:
+        fields.append(("rank", str(order.cache_rank)))
+    if order.max_age > 0:
+        fields.append(("oldest", str(max(1, int(order.max_age)))))
+    if mode := "+".join(word for bit, word in MODES if order.fill_mode & bit):
         fields.append(("mode", mode))
-    if asked.seen:
-        fields.append(("seen", asked.seen))
-    return resp.encode(b"fetch", asked.txn.encode(), resp.words(fields), asked.body)
+    if asked.client_etag:
+        fields.append(("seen", asked.client_etag))
+    return resp.encode(b"fetch", asked.request_id.encode(), resp.words(fields), asked.body)
 
 
 class Link:
     """A connection to a node and the attempts that are on it."""
 
-    def __init__(self, node: NodeId, send: Send, address: tuple[str, int], now: float) -> None:
+    def __init__(self, node: EndpointId, send: Send, address: tuple[str, int], now: float) -> None:
         self.node = node
         self.address = address
         self.opened_at = now
@@ -153,7 +153,7 @@
         self._clock, self._timers, self._nodes, self._settings = clock, timers, nodes, settings
         self._book, self._relay, self._connect = book, relay, connect
         self.most_links = 0
-        self._links: dict[NodeId, list[Link]] = {}
+        self._links: dict[EndpointId, list[Link]] = {}
         self._where: dict[Attempt, Link] = {}
         self._timers.at(clock.now() + SWEEP, self._sweep)
 
@@ -163,7 +163,7 @@
 
     def order(self, attempt: Attempt) -> None:
         """Sends an attempt on its way."""
-        attempt.alarm = self._timers.at(attempt.order.cut_at, partial(self.late, attempt))
+        attempt.alarm = self._timers.at(attempt.order.deadline, partial(self.late, attempt))
         self._place(attempt)
 
     def _place(self, attempt: Attempt) -> None:
@@ -171,18 +171,21 @@
         order = attempt.order
         if not self.may_go(attempt):
             return
-        link = self._link(order.node, attempt.request.asked.txn, self._clock.now())
+        link = self._link(order.endpoint_id, attempt.request.asked.request_id, self._clock.now())
         if link is None:  # our own lack, which says nothing of the cache
             log_some(
-                "no-connection", req=attempt.request.asked.txn, node=f"s-{order.node:08x}", links=self.links()
+                "no-connection",
+                req=attempt.request.asked.request_id,
+                node=f"s-{order.endpoint_id:08x}",
+                links=self.links(),
             )
-            self._book.ended(attempt, Outcome.MOOT)
+            self._book.ended(attempt, Outcome.NOT_SENT)
             return
-        link.open[attempt.request.asked.txn] = attempt
+        link.open[attempt.request.asked.request_id] = attempt
         self._where[attempt] = link
         link.connection.put(Fetch(self, attempt))
 
-    def _link(self, node: NodeId, txn: str, now: float) -> Link | None:
+    def _link(self, node: EndpointId, txn: str, now: float) -> Link | None:
         """A free connection, else a new one, else the one with the least on it.
 
         Guards against one answer that is spoilt taking many others along.
@@ -201,7 +204,9 @@
             self._links.setdefault(node, []).append(link)
             return link
         for link in sorted(links, key=lambda link: len(link.open)):
-            if link.address == address and link.takes(txn, now, self._settings.streams, silence):
+            if link.address == address and link.takes(
+                txn, now, self._settings.max_streams_per_connection, silence
+            ):
                 link.used_at = now
                 return link
         return None
@@ -226,26 +231,26 @@
         """
         if attempt.ended:
             return False
-        order: Get = attempt.order
+        order: StartAttempt = attempt.order
         denied = rules.denial(
             self._clock.now(),
             answered=attempt.request.answered,
             purged=attempt.outdated,
-            cut_at=order.cut_at,
-            begin_by=order.begin_by,
-            node_ready=self._nodes.ready(order.node),
-            source_ready=order.source == order.node or self._nodes.ready(order.source),
+            cut_at=order.deadline,
+            begin_by=order.start_before,
+            node_ready=self._nodes.ready(order.endpoint_id),
+            source_ready=order.source_id == order.endpoint_id or self._nodes.ready(order.source_id),
         )
         if denied is not None:
             self._book.counts[f"denied_{denied.value}"] += 1
             log_some(
                 "attempt-denied",
-                req=attempt.request.asked.txn,
+                req=attempt.request.asked.request_id,
                 why=denied.value,
-                node=f"s-{attempt.order.node:08x}",
+                node=f"s-{attempt.order.endpoint_id:08x}",
                 attempt=attempt.number,
             )
-            self._finish(attempt, Outcome.MOOT)
+            self._finish(attempt, Outcome.NOT_SENT)
         return denied is None
 
     def begin(self, attempt: Attempt) -> bytes | None:
@@ -253,12 +258,12 @@
 
         Guards against work for a client whose leaving has come, but was not read so far.
         """
-        attempt.request.asked.look()
+        attempt.request.asked.poll_client()
         if not self.may_go(attempt):
             return None
         now, order = self._clock.now(), attempt.order
-        listed = self._nodes.ready(order.node) and (
-            order.source == order.node or self._nodes.ready(order.source)
+        listed = self._nodes.ready(order.endpoint_id) and (
+            order.source_id == order.endpoint_id or self._nodes.ready(order.source_id)
         )
         self._book.check.sending(attempt, now, listed)
         attempt.written_at = now
@@ -268,8 +273,8 @@
         """Gives an attempt up; what was written is aborted by its id."""
         link = self._where.get(attempt)
         if attempt.written_at and link is not None and not link.connection.over:
-            link.given_up.append(attempt.request.asked.txn)
-            link.connection.put(Abort(attempt.request.asked.txn))
+            link.given_up.append(attempt.request.asked.request_id)
+            link.connection.put(Abort(attempt.request.asked.request_id))
             silent_for = self._clock.now() - max(attempt.written_at, link.heard_at)
             # Guards against a connection on which nothing comes back taking the next attempt, too.
             link.doubtful |= silent_for > SILENT * max(self._settings.connect_timeout, 100.0)
@@ -281,7 +286,7 @@
             now = self._clock.now()
             log_some(
                 "attempt-late",
-                req=attempt.request.asked.txn,
+                req=attempt.request.asked.request_id,
                 node=f"s-{link.node:08x}",
                 at=":".join(map(str, link.address)),
                 up=link.connection.up,
@@ -299,7 +304,7 @@
     def _unlink(self, attempt: Attempt) -> None:
         link = self._where.pop(attempt, None)
         if link is not None:
-            link.open.pop(attempt.request.asked.txn, None)
+            link.open.pop(attempt.request.asked.request_id, None)
 
     def arrived(self, link: Link, array: list[bytes]) -> None:
         """An answer on a connection; one under an id that is not open there is not owed, and dropped.
@@ -345,10 +350,10 @@
                 self._unlink(attempt)
                 self._place(attempt)
             else:
-                unseen = Outcome.MOOT if link.connection.lacking else Outcome.CONNECT_FAILED
+                unseen = Outcome.NOT_SENT if link.connection.lacking else Outcome.CONNECT_FAILED
                 self._finish(attempt, Outcome.RESET if attempt.written_at else unseen)
 
-    def started(self, node: NodeId, moment: float) -> None:
+    def started(self, node: EndpointId, moment: float) -> None:
         """The node was started anew then. Guards against waiting on connections to what ran before;
 
         those opened since lead to the new process, and what is out on them goes on.
@@ -373,7 +378,7 @@
         self._timers.at(now + SWEEP, self._sweep)
         for links in list(self._links.values()):
             for link in list(links):
-                idle = now - link.used_at > IDLE_PART * self._settings.conn_idle
+                idle = now - link.used_at > IDLE_PART * self._settings.connection_idle_timeout
                 stuck = link.connection.halfway_at and now - link.connection.halfway_at > STUCK
                 if stuck or (not link.open and (idle or link.doubtful)):
                     link.connection.close()
--- a/edge_router/proxy/exchange.py
+++ b/edge_router/proxy/exchange.py
@@ -7,48 +7,50 @@
 from enum import Enum
 
 
-class Verdict(Enum):
+class ResponseStatus(Enum):
     """What an answer says."""
 
     SERVED = "served"
-    UNCHANGED = "unchanged"  # the copy that the client holds is the one
-    REFUSED = "refused"  # trying again is harmless
+    NOT_MODIFIED = "unchanged"  # the copy that the client holds is the one
+    REJECTED = "refused"  # trying again is harmless
     FAILED = "failed"
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class FinalResponse:
     """The one final answer to a request."""
 
-    verdict: Verdict
+    status: ResponseStatus
     body: bytes = b""
-    tag: str = ""
-    pause: float = 0.0  # on a refusal, for how long the client should stay away
+    etag: str = ""
+    retry_after: float = 0.0  # on a refusal, for how long the client should stay away
 
 
-def nothing_more() -> None:
+def no_further_input() -> None:
     """The client sends nothing more."""
 
 
 @dataclass(slots=True, eq=False)
-class Asked:
+class IncomingRequest:
     """A request, checked; the texts pass on to caches unchanged."""
 
-    txn: str
-    cls: str
-    item: str
-    chunk: str
-    kind: int
-    key: int
-    part: int
-    group: int
-    size: float
-    ttl: float
-    seen: str  # tag of the copy that the client holds; empty if none
+    request_id: str
+    class_name: str
+    object_id: str
+    segment_text: str
+    class_index: int
+    object_key: int
+    segment: int
+    purge_group: int
+    size_kb: float
+    timeout: float
+    client_etag: str  # tag of the copy that the client holds; empty if none
     body: bytes
-    reply: Callable[[Answer], None]
-    unread_for: float = 0.0  # ms for which it may have waited to be read
-    look: Callable[[], None] = nothing_more  # takes in what the client has sent since, or that it has left
+    respond: Callable[[FinalResponse], None]
+    time_unread: float = 0.0  # ms for which it may have waited to be read
+    poll_client: Callable[[], None] = (
+        no_further_input  # takes in what the client has sent since, or that it has left
+    )
     idempotency_key: str = ""  # by which caches know a repeat; empty if the client named none
 
 
--- a/edge_router/proxy/fastcgi_frontend.py
+++ b/edge_router/proxy/fastcgi_frontend.py
@@ -6,7 +6,7 @@
 
 from edge_router.decision.settings import Settings
 from edge_router.protocol.fastcgi import COMPLETE
-from edge_router.proxy.exchange import Answer, BadRequestError, Verdict
+from edge_router.proxy.exchange import BadRequestError, FinalResponse, ResponseStatus
 from edge_router.proxy.request_parser import Intake
 from edge_router.proxy.request_router import Route
 from edge_router.proxy.request_table import OpenRequest
@@ -15,10 +15,10 @@
 
 READY_PATH = "/status/live"
 _LINES = {
-    Verdict.SERVED: "200 OK",
-    Verdict.UNCHANGED: "200 OK",
-    Verdict.REFUSED: "503 Service Unavailable",
-    Verdict.FAILED: "502 Bad Gateway",
+    ResponseStatus.SERVED: "200 OK",
+    ResponseStatus.NOT_MODIFIED: "200 OK",
+    ResponseStatus.REJECTED: "503 Service Unavailable",
+    ResponseStatus.FAILED: "502 Bad Gateway",
 }
 _REASONS = {400: "Bad Request", 404: "Not Found", 408: "Request Timeout", 413: "Content Too Large"}
 
@@ -28,17 +28,17 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
 
 
-def head_of(answer: Answer) -> bytes:
+def head_of(answer: FinalResponse) -> bytes:
     """The CGI header of an answer."""
     fields: dict[str, object] = {"Content_Type": "application/octet-stream"}
     fields["Content_Length"] = len(answer.body)
-    if answer.verdict is Verdict.UNCHANGED:
+    if answer.status is ResponseStatus.NOT_MODIFIED:
         fields["X_Notmod"] = 1
-    if answer.verdict is Verdict.REFUSED:
-        fields["X_Throttle_Ms"] = max(0, round(answer.pause))
-    if answer.tag:
-        fields["X_Etag"] = answer.tag
-    return _head(_LINES[answer.verdict], **fields)
+    if answer.status is ResponseStatus.REJECTED:
+        fields["X_Throttle_Ms"] = max(0, round(answer.retry_after))
+    if answer.etag:
+        fields["X_Etag"] = answer.etag
+    return _head(_LINES[answer.status], **fields)
 
 
 @lru_cache(256)
@@ -73,8 +73,8 @@
             if params.get("CONTENT_LENGTH", "") not in ("", str(len(body))):
                 raise BadRequestError(400, "CONTENT_LENGTH is not that of the body")
             asked = self._intake.take(path, fields_of(params), body, partial(self._reply, connection, ident))
-            asked.unread_for, asked.look = connection.unread_for, connection.look
-            if self._route.requests.waits(asked.txn):
+            asked.time_unread, asked.poll_client = connection.unread_for, connection.look
+            if self._route.requests.waits(asked.request_id):
                 raise BadRequestError(400, "X-Txn is that of an open request")
         except BadRequestError as error:
             log_some("bad-request", status=error.status, why=str(error))
@@ -85,7 +85,7 @@
             self._open[connection, ident] = request
         return True
 
-    def _reply(self, connection: Session, ident: int, answer: Answer) -> None:
+    def _reply(self, connection: Session, ident: int, answer: FinalResponse) -> None:
         self._open.pop((connection, ident), None)
         connection.answer(ident, head_of(answer), answer.body)
 
--- a/edge_router/proxy/invariants.py
+++ b/edge_router/proxy/invariants.py
@@ -9,8 +9,8 @@
 from collections import Counter
 
 from edge_router.decision import rules
-from edge_router.decision.settings import ClassSettings, Effect, Settings
-from edge_router.proxy.exchange import Verdict
+from edge_router.decision.settings import ClassSettings, Idempotency, Settings
+from edge_router.proxy.exchange import ResponseStatus
 from edge_router.proxy.request_table import Attempt, OpenRequest
 from edge_router.runtime.event_log import log_some
 
@@ -26,11 +26,11 @@
         self._counts = counts
 
     def _class(self, request: OpenRequest) -> ClassSettings:
-        return self._settings.classes[request.asked.kind]
+        return self._settings.classes[request.asked.class_index]
 
     def _broken(self, rule: str, request: OpenRequest, detail: str = "") -> None:
         self._counts[f"violation_{rule}"] += 1
-        log_some("rule-violation", rule=rule, req=request.asked.txn, detail=detail)
+        log_some("rule-violation", rule=rule, req=request.asked.request_id, detail=detail)
 
     def sending(self, attempt: Attempt, now: float, listed: bool) -> None:
         """An attempt's first byte is about to be written; `listed`: its cache and source are ready now."""
@@ -39,32 +39,32 @@
             self._attempt_broken("sent_after_answer", attempt)
         if not listed:
             self._attempt_broken("sent_to_unready", attempt)
-        if attempt.order.cut_at > request.deadline + LIMIT_TOLERANCE:
+        if attempt.order.deadline > request.deadline + LIMIT_TOLERANCE:
             self._attempt_broken("limit_beyond_deadline", attempt)
-        if attempt.number >= self._settings.most_attempts:
+        if attempt.number >= self._settings.max_attempts:
             self._attempt_broken("too_many_attempts", attempt)
         if len(request.attempts) > 1:
             self._repeat(attempt, now)
 
     def _attempt_broken(self, rule: str, attempt: Attempt) -> None:
-        self._broken(rule, attempt.request, f"s-{attempt.order.node:08x}")
+        self._broken(rule, attempt.request, f"s-{attempt.order.endpoint_id:08x}")
 
     def _repeat(self, attempt: Attempt, now: float) -> None:
         others = [other for other in attempt.request.attempts if other is not attempt and other.written_at]
-        if not self._settings.second_copies and any(not other.ended for other in others):
+        if not self._settings.hedging_allowed and any(not other.ended for other in others):
             self._attempt_broken("second_copy", attempt)
         cls = self._class(attempt.request)
         ran = [other for other in others if other.may_have_run()]
-        if not ran or cls.effect is Effect.SAFE:
+        if not ran or cls.idempotency is Idempotency.IDEMPOTENT:
             return
-        if cls.effect is Effect.UNSAFE:
+        if cls.idempotency is Idempotency.NONE:
             self._attempt_broken("unsafe_repeat", attempt)
         elif now > rules.repeat_until(cls, min(other.written_at for other in ran)):
             self._attempt_broken("repeat_after_window", attempt)
 
-    def answered(self, request: OpenRequest, verdict: Verdict, now: float) -> None:
+    def answered(self, request: OpenRequest, verdict: ResponseStatus, now: float) -> None:
         """A request gets its final answer."""
-        if verdict is Verdict.REFUSED and not rules.may_refuse(
+        if verdict is ResponseStatus.REJECTED and not rules.may_refuse(
             self._class(request), any(attempt.may_have_run() for attempt in request.attempts)
         ):
             self._broken("refused_after_run", request)
--- a/edge_router/proxy/request_parser.py
+++ b/edge_router/proxy/request_parser.py
@@ -5,8 +5,8 @@
 import re
 from collections.abc import Callable, Mapping
 
-from edge_router.decision.settings import Effect, Settings
-from edge_router.proxy.exchange import Answer, Asked, BadRequestError
+from edge_router.decision.settings import Idempotency, Settings
+from edge_router.proxy.exchange import BadRequestError, FinalResponse, IncomingRequest
 
 PATH = "/svc/"
 MOST_PART = 65_535
@@ -51,11 +51,13 @@
 
     def __init__(self, settings: Settings) -> None:
         self._kinds = {cls.name: place for place, cls in enumerate(settings.classes)}
-        self._keyed = {place for place, cls in enumerate(settings.classes) if cls.effect is Effect.KEYED}
+        self._keyed = {
+            place for place, cls in enumerate(settings.classes) if cls.idempotency is Idempotency.WITH_KEY
+        }
 
     def take(
-        self, path: str, fields: Mapping[str, str], body: bytes, reply: Callable[[Answer], None]
-    ) -> Asked:
+        self, path: str, fields: Mapping[str, str], body: bytes, reply: Callable[[FinalResponse], None]
+    ) -> IncomingRequest:
         """The request that these fields make; raises BadRequestError."""
         cls = path.removeprefix(PATH)
         if not path.startswith(PATH) or cls not in self._kinds:
@@ -70,19 +72,19 @@
         if "X-Txn-Key" in fields or kind in self._keyed:
             # Guards against repeating what no cache can tell for a repeat.
             key = _field(fields, "X-Txn-Key", _TOKEN)
-        return Asked(
-            txn=_field(fields, "X-Txn", _HEX),
-            cls=cls,
-            item=item,
-            chunk=fields.get("X-Seg", "0"),
-            kind=kind,
-            key=int(item, 16),
-            part=int(part),
-            group=int(_figure(fields, "X-Bucket", _WHOLE, MOST_GROUP, "0")),
-            size=_figure(fields, "X-Working-Set-Kb", _NUMBER, MOST_KB, "0"),
-            ttl=ttl,
-            seen=_bare(fields.get("X-Etag", "")),
+        return IncomingRequest(
+            request_id=_field(fields, "X-Txn", _HEX),
+            class_name=cls,
+            object_id=item,
+            segment_text=fields.get("X-Seg", "0"),
+            class_index=kind,
+            object_key=int(item, 16),
+            segment=int(part),
+            purge_group=int(_figure(fields, "X-Bucket", _WHOLE, MOST_GROUP, "0")),
+            size_kb=_figure(fields, "X-Working-Set-Kb", _NUMBER, MOST_KB, "0"),
+            timeout=ttl,
+            client_etag=_bare(fields.get("X-Etag", "")),
             body=body,
-            reply=reply,
+            respond=reply,
             idempotency_key=key,
         )
--- a/edge_router/proxy/request_router.py
+++ b/edge_router/proxy/request_router.py
@@ -10,31 +10,31 @@
 
 from edge_router.decision import rules
 from edge_router.decision.messages import (
-    Cancel,
-    Due,
+    CancelAttempt,
+    ClientDisconnected,
+    Endpoint,
+    EndpointListUpdate,
     Event,
     Fail,
-    Get,
-    Left,
-    Listed,
-    ListKind,
-    Log,
-    Node,
+    LogMessage,
     Outcome,
-    Purged,
-    Refuse,
-    Request,
-    Timer,
+    PurgeReceived,
+    Reject,
+    RequestReceived,
+    SetTimer,
+    StartAttempt,
+    TimerFired,
+    UpdateKind,
 )
 from edge_router.decision.policy import PURGE_MARGIN, Director
 from edge_router.decision.settings import Settings
 from edge_router.discovery.endpoint_table import NodeTable
-from edge_router.discovery.events import MembersTold, PurgeTold, Told
+from edge_router.discovery.events import DiscoveryEvent, EndpointsChanged, ObjectPurged
 from edge_router.discovery.purge_history import ToldPurges
 from edge_router.proxy.accounting import Book
 from edge_router.proxy.admission import Admit
 from edge_router.proxy.dispatch import Connect, Send
-from edge_router.proxy.exchange import Answer, Asked, Verdict
+from edge_router.proxy.exchange import FinalResponse, IncomingRequest, ResponseStatus
 from edge_router.proxy.request_table import Attempt, OpenRequest, OpenRequests
 from edge_router.proxy.response_handler import Relay
 from edge_router.runtime.clock import Clock
@@ -75,29 +75,29 @@
         self._wake = wake
         self.book = Book(settings, clock, self.admit, self.post)
         self.peer_time = PeerTime(clock)
-        self.purges = ToldPurges(settings.purge_done * PURGE_MARGIN + settings.purge_grace)
+        self.purges = ToldPurges(settings.purge_settle_time * PURGE_MARGIN + settings.purge_notice_time)
         self.relay = Relay(settings, self.book, clock, self.peer_time, self.purges)
         self.send = Send(clock, timers, self.nodes, settings, self.book, self.relay, connect)
         self._carry: dict[type, Callable[[Any], None]] = {
-            Get: self._get,
-            Cancel: self._cancel,
-            Refuse: self._refuse,
+            StartAttempt: self._get,
+            CancelAttempt: self._cancel,
+            Reject: self._refuse,
             Fail: self._fail,
-            Timer: self._timer,
-            Log: self._log,
+            SetTimer: self._timer,
+            LogMessage: self._log,
         }
         self._said: dict[str, float] = {}
 
     # -- what comes in --
 
-    def asked(self, asked: Asked) -> OpenRequest | None:
+    def asked(self, asked: IncomingRequest) -> OpenRequest | None:
         """A request was taken in; None if it was refused at the door."""
         now = self._clock.now()
         request = self.admit.enter(now, asked)
         if request is None:
-            over = asked.unread_for >= asked.ttl
+            over = asked.time_unread >= asked.timeout
             self.book.counts["refused_over" if over else "no_room"] += 1
-            asked.reply(Answer(Verdict.REFUSED, pause=self.admit.pause()))
+            asked.respond(FinalResponse(ResponseStatus.REJECTED, retry_after=self.admit.pause()))
             return None
         request.backstop = self._timers.at(request.deadline + BACKSTOP, partial(self._backstop, request))
         self._undecided.append((now, request))
@@ -119,20 +119,20 @@
     def _decide(self, came: float, request: OpenRequest) -> None:
         now, asked = self._clock.now(), request.asked
         self.book.waited(now - came)
-        if why := self.admit.too_much(now, came, asked.kind):
+        if why := self.admit.too_much(now, came, asked.class_index):
             self.book.counts[f"shed_{why}"] += 1
-            log_some("refused", req=asked.txn, why=f"shed_{why}", waited=now - came)
-            self.relay.answer(request, Answer(Verdict.REFUSED, pause=self.admit.pause()))
+            log_some("refused", req=asked.request_id, why=f"shed_{why}", waited=now - came)
+            self.relay.answer(request, FinalResponse(ResponseStatus.REJECTED, retry_after=self.admit.pause()))
         else:
             self.post(
-                Request(
+                RequestReceived(
                     request.req,
-                    asked.kind,
-                    asked.key,
+                    asked.class_index,
+                    asked.object_key,
                     request.deadline - now,
-                    asked.size,
-                    asked.group,
-                    asked.part,
+                    asked.size_kb,
+                    asked.purge_group,
+                    asked.segment,
                 )
             )
 
@@ -140,66 +140,76 @@
         """The client of an open request has gone."""
         if not request.answered:
             self.relay.left(request)
-            self.post(Left(request.req))
+            self.post(ClientDisconnected(request.req))
             for attempt in list(request.attempts):
                 if not attempt.written_at:
                     self.send.may_go(attempt)
 
-    def undecided_answer(self, request: OpenRequest) -> Answer:
+    def undecided_answer(self, request: OpenRequest) -> FinalResponse:
         """The final answer to a request that ends without a decision: refused if that is surely harmless."""
         may_have_run = any(attempt.may_have_run() for attempt in request.attempts)
-        if rules.may_refuse(self._settings.classes[request.asked.kind], may_have_run):
-            return Answer(Verdict.REFUSED, pause=self.admit.pause())
-        return Answer(Verdict.FAILED)
+        if rules.may_refuse(self._settings.classes[request.asked.class_index], may_have_run):
+            return FinalResponse(ResponseStatus.REJECTED, retry_after=self.admit.pause())
+        return FinalResponse(ResponseStatus.FAILED)
 
-    def told(self, event: Told) -> None:
+    def on_discovery_event(self, event: DiscoveryEvent) -> None:
         """News of nodes or a purge. What waits to be written is looked at again, once the module knows."""
         waiting = self.requests.waiting()
-        if isinstance(event, PurgeTold):
+        if isinstance(event, ObjectPurged):
             self._purged(event)
             for attempt in waiting:
                 asked = attempt.request.asked
-                attempt.outdated |= asked.key == event.key if event.key else asked.group == event.group
+                attempt.outdated |= (
+                    asked.object_key == event.object_key
+                    if event.object_key
+                    else asked.purge_group == event.purge_group
+                )
         else:
             self._listed(event)
         for attempt in waiting:
             self.send.may_go(attempt)
 
-    def _purged(self, event: PurgeTold) -> None:
-        self.peer_time.happened(event.time)
+    def _purged(self, event: ObjectPurged) -> None:
+        self.peer_time.happened(event.unix_time)
         now = self._clock.now()
-        self.purges.add(now, event.key, event.group, event.time)
-        self.post(Purged(max(0.0, now - self.peer_time.local(event.time)), event.group, event.key))
+        self.purges.add(now, event.object_key, event.purge_group, event.unix_time)
+        self.post(
+            PurgeReceived(
+                max(0.0, now - self.peer_time.local(event.unix_time)), event.purge_group, event.object_key
+            )
+        )
 
-    def _listed(self, event: MembersTold) -> None:
-        members = tuple(member._replace(node=self._with_local_start(member.node)) for member in event.members)
-        self.nodes.apply(MembersTold(event.whole, members))
-        form = ListKind.FULL if event.whole else ListKind.DELTA
-        self.post(Listed(form, tuple(member.node for member in members)))
+    def _listed(self, event: EndpointsChanged) -> None:
+        members = tuple(
+            member._replace(endpoint=self._with_local_start(member.endpoint)) for member in event.endpoints
+        )
+        self.nodes.apply(EndpointsChanged(event.complete, members))
+        form = UpdateKind.FULL if event.complete else UpdateKind.DELTA
+        self.post(EndpointListUpdate(form, tuple(member.endpoint for member in members)))
         for member in members:
-            node = member.node
-            if node.started > 0:
-                self.send.started(node.node, node.started)
+            node = member.endpoint
+            if node.started_at > 0:
+                self.send.started(node.endpoint_id, node.started_at)
             log(
                 "node",
-                id=f"s-{node.node:08x}",
+                id=f"s-{node.endpoint_id:08x}",
                 state=node.state.name.lower(),
-                kind=node.kind,
+                kind=node.role,
                 zone=node.zone,
-                started=f"{node.started:.0f}",
+                started=f"{node.started_at:.0f}",
                 at=f"{member.host}:{member.port}",
             )
         self.send.gone()
 
-    def _with_local_start(self, node: Node) -> Node:
+    def _with_local_start(self, node: Endpoint) -> Endpoint:
         """The entry with the moment of its start by our clock, translated once; not later than the news."""
-        if node.started <= 0:
+        if node.started_at <= 0:
             return node
-        if (started := self.nodes.local_start(node.node, node.started)) is None:
-            self.peer_time.happened(node.started)
-            started = max(1.0, min(self.peer_time.local(node.started), self._clock.now()))
-            self.nodes.note_start(node.node, node.started, started)
-        return node._replace(started=started)
+        if (started := self.nodes.local_start(node.endpoint_id, node.started_at)) is None:
+            self.peer_time.happened(node.started_at)
+            started = max(1.0, min(self.peer_time.local(node.started_at), self._clock.now()))
+            self.nodes.note_start(node.endpoint_id, node.started_at, started)
+        return node._replace(started_at=started)
 
     def figures(self) -> dict[str, float]:
         """What the decisions rest on, for the operators."""
@@ -226,44 +236,44 @@
         except Exception as error:
             where = traceback.extract_tb(error.__traceback__)[-1]
             log("bug", where=f"{where.filename.rpartition('/')[2]}:{where.lineno}", error=repr(error))
-            if isinstance(event, Request) and (request := self.requests.get(event.req)):
+            if isinstance(event, RequestReceived) and (request := self.requests.get(event.request_number)):
                 self._fail(Fail(request.req))
 
     # -- what is to be done --
 
-    def _get(self, act: Get) -> None:
-        request = self.requests.get(act.req)
+    def _get(self, act: StartAttempt) -> None:
+        request = self.requests.get(act.request_number)
         if request is None:
             return
-        cut_at = min(act.cut_at, request.deadline) if act.cut_at > 0 else request.deadline
-        attempt = Attempt(request, len(request.attempts), act._replace(cut_at=cut_at), self._clock.now())
+        cut_at = min(act.deadline, request.deadline) if act.deadline > 0 else request.deadline
+        attempt = Attempt(request, len(request.attempts), act._replace(deadline=cut_at), self._clock.now())
         request.attempts.append(attempt)
         if request.expired:
-            self.book.ended(attempt, Outcome.MOOT)
+            self.book.ended(attempt, Outcome.NOT_SENT)
         else:
             self.send.order(attempt)
 
-    def _cancel(self, act: Cancel) -> None:
-        request = self.requests.get(act.req)
-        if request is not None and act.attempt < len(request.attempts):
-            attempt = request.attempts[act.attempt]
+    def _cancel(self, act: CancelAttempt) -> None:
+        request = self.requests.get(act.request_number)
+        if request is not None and act.attempt_index < len(request.attempts):
+            attempt = request.attempts[act.attempt_index]
             if not attempt.ended:
                 self.send.cancel(attempt)
 
-    def _refuse(self, act: Refuse) -> None:
-        if request := self.requests.get(act.req):
-            self.book.counts[f"refused_{act.why}"] += 1
-            log_some("refused", req=request.asked.txn, why=act.why, attempts=len(request.attempts))
-            self.relay.answer(request, Answer(Verdict.REFUSED, pause=act.pause))
+    def _refuse(self, act: Reject) -> None:
+        if request := self.requests.get(act.request_number):
+            self.book.counts[f"refused_{act.reason}"] += 1
+            log_some("refused", req=request.asked.request_id, why=act.reason, attempts=len(request.attempts))
+            self.relay.answer(request, FinalResponse(ResponseStatus.REJECTED, retry_after=act.retry_after))
 
     def _fail(self, act: Fail) -> None:
-        if request := self.requests.get(act.req):
-            self.relay.answer(request, Answer(Verdict.FAILED))
+        if request := self.requests.get(act.request_number):
+            self.relay.answer(request, FinalResponse(ResponseStatus.FAILED))
 
-    def _timer(self, act: Timer) -> None:
-        self._timers.at(act.at, partial(self.post, Due(act.token)))
+    def _timer(self, act: SetTimer) -> None:
+        self._timers.at(act.fire_at, partial(self.post, TimerFired(act.token)))
 
-    def _log(self, act: Log) -> None:
+    def _log(self, act: LogMessage) -> None:
         """Guards against a log full of one line: the same text comes once a second at most."""
         now = self._clock.now()
         self._said = {text: at for text, at in self._said.items() if 0 <= now - at < SAID_FOR}
@@ -277,12 +287,12 @@
         """Guards against a request that nobody answers."""
         if not request.answered:
             if request.attempts:
-                log("backstop", req=request.asked.txn)
+                log("backstop", req=request.asked.request_id)
             else:
                 self.book.counts["refused_over"] += 1
-                log_some("refused", req=request.asked.txn, why="its time was over before its decision")
+                log_some("refused", req=request.asked.request_id, why="its time was over before its decision")
             self.relay.answer(request, self.undecided_answer(request))
-            self.post(Left(request.req))
+            self.post(ClientDisconnected(request.req))
         for attempt in request.attempts:
             if not attempt.ended:
                 self.send.cancel(attempt)
--- a/edge_router/proxy/request_table.py
+++ b/edge_router/proxy/request_table.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from edge_router.decision.messages import Get, Outcome
+from edge_router.decision.messages import Outcome, StartAttempt
 from edge_router.decision.rules import PROVES_NOT_RUN
-from edge_router.proxy.exchange import Asked
+from edge_router.proxy.exchange import IncomingRequest
 from edge_router.runtime.timers import Alarm
 
 
@@ -17,7 +17,7 @@
 
     request: OpenRequest
     number: int
-    order: Get
+    order: StartAttempt
     ordered_at: float
     written_at: float = 0.0  # when its first byte was written; 0: never sent so far
     outdated: bool = False  # a purge came after the order
@@ -36,7 +36,7 @@
     """A request that has been taken, until its last attempt has ended and it is answered."""
 
     req: int
-    asked: Asked
+    asked: IncomingRequest
     deadline: float
     holds: int = 0  # bytes that are set aside for it and its answer
     answered: bool = False
@@ -59,11 +59,11 @@
     def __iter__(self) -> Iterator[OpenRequest]:
         return iter(list(self._open.values()))
 
-    def add(self, asked: Asked, deadline: float, holds: int) -> OpenRequest:
+    def add(self, asked: IncomingRequest, deadline: float, holds: int) -> OpenRequest:
         """Takes a request in, under a new number below 2^32."""
         self._next = self._next % 0xFFFFFFFF + 1
         request = self._open[self._next] = OpenRequest(self._next, asked, deadline, holds)
-        self._txns[asked.txn] = request
+        self._txns[asked.request_id] = request
         return request
 
     def waits(self, txn: str) -> bool:
@@ -83,8 +83,8 @@
         request = self._open.pop(req, None)
         if request is None:
             return False
-        if self._txns.get(request.asked.txn) is request:
-            del self._txns[request.asked.txn]
+        if self._txns.get(request.asked.request_id) is request:
+            del self._txns[request.asked.request_id]
         request.attempts.clear()
         return True
 
--- a/edge_router/proxy/response_handler.py
+++ b/edge_router/proxy/response_handler.py
@@ -5,11 +5,11 @@
 import re
 from typing import NamedTuple
 
-from edge_router.decision.messages import Note, Outcome
+from edge_router.decision.messages import FillResult, Outcome
 from edge_router.decision.settings import ClassSettings, Settings
 from edge_router.discovery.purge_history import ToldPurges
 from edge_router.proxy.accounting import Book
-from edge_router.proxy.exchange import Answer, Verdict
+from edge_router.proxy.exchange import FinalResponse, ResponseStatus
 from edge_router.proxy.request_table import Attempt, OpenRequest
 from edge_router.runtime.clock import Clock
 from edge_router.runtime.event_log import log_some
@@ -23,23 +23,23 @@
     "200": Outcome.OK,
     "304": Outcome.OK,
     "404": Outcome.MISS,
-    "503": Outcome.FULL,
+    "503": Outcome.OVERLOADED,
     "500": Outcome.ERROR,
-    "504": Outcome.MOOT,
+    "504": Outcome.NOT_SENT,
 }
 _TAG = re.compile(r"[0-9A-Za-z._-]{1,64}")
 _FIGURE = re.compile(r"[0-9]{1,15}(\.[0-9]{1,12})?")
 _NOTES = {
-    "hit": Note.HIT,
-    "filled": Note.FILLED,
-    "via_origin": Note.FILLED_BY_ORIGIN,
-    "joined": Note.JOINED,
-    "stale": Note.OLD_COPY,
-    "src_refused": Note.SOURCE_REFUSED,
-    "src_broke": Note.SOURCE_BROKE,
-    "src_lacks": Note.SOURCE_LACKS,
-    "no_slot": Note.NO_FILL_PLACE,
-    "origin_failed": Note.ORIGIN_FAILED,
+    "hit": FillResult.HIT,
+    "filled": FillResult.FILLED,
+    "via_origin": FillResult.FILLED_BY_ORIGIN,
+    "joined": FillResult.COALESCED,
+    "stale": FillResult.STALE_COPY,
+    "src_refused": FillResult.SOURCE_REFUSED,
+    "src_broke": FillResult.SOURCE_FAILED,
+    "src_lacks": FillResult.SOURCE_MISS,
+    "no_slot": FillResult.NO_FILL_SLOT,
+    "origin_failed": FillResult.ORIGIN_FAILED,
 }
 
 
@@ -68,14 +68,14 @@
         self._peer_time = peer_time
         self._purges = purges
 
-    def answer(self, request: OpenRequest, answer: Answer) -> None:
+    def answer(self, request: OpenRequest, answer: FinalResponse) -> None:
         """The final answer; only the first counts."""
         if request.answered:
             return
-        self._book.check.answered(request, answer.verdict, self._clock.now())
+        self._book.check.answered(request, answer.status, self._clock.now())
         request.answered = True
-        self._book.counts[answer.verdict.value] += 1
-        request.asked.reply(answer)
+        self._book.counts[answer.status.value] += 1
+        request.asked.respond(answer)
         self._book.close_if_over(request)
 
     def left(self, request: OpenRequest) -> None:
@@ -95,7 +95,7 @@
             return "an error with bytes" if reply.body else ""
         if len(reply.body) > MOST_BODY:
             return f"an answer of {len(reply.body)} bytes"
-        kept = not self._settings.classes[attempt.request.asked.kind].never_kept
+        kept = not self._settings.classes[attempt.request.asked.class_index].uncacheable
         tag, born = (reply.fields.get(name, "") for name in ("ver", "born"))
         if kept and not (_TAG.fullmatch(tag) and _number(born)):
             return "a copy without a tag or an age"
@@ -104,16 +104,21 @@
     def arrived(self, attempt: Attempt, reply: Reply) -> None:
         """A cache has answered an attempt that is out."""
         outcome = OUTCOMES[reply.word]
-        note = _NOTES.get(reply.fields.get("tell", ""), Note.NONE)
+        note = _NOTES.get(reply.fields.get("tell", ""), FillResult.NONE)
         born = _number(reply.fields.get("born", ""))
-        if outcome is Outcome.OK and note is Note.FILLED_BY_ORIGIN and born:
+        if outcome is Outcome.OK and note is FillResult.FILLED_BY_ORIGIN and born:
             self._peer_time.given_out(born, attempt.written_at, self._clock.now())
         if outcome is Outcome.OK and (wrong := self._wrong(attempt, reply)):
-            log_some("bad-copy", req=attempt.request.asked.txn, node=f"s-{attempt.order.node:08x}", why=wrong)
+            log_some(
+                "bad-copy",
+                req=attempt.request.asked.request_id,
+                node=f"s-{attempt.order.endpoint_id:08x}",
+                why=wrong,
+            )
             outcome = Outcome.ERROR
         if outcome is Outcome.OK:
-            verdict = Verdict.UNCHANGED if reply.word == "304" else Verdict.SERVED
-            self.answer(attempt.request, Answer(verdict, reply.body, reply.fields.get("ver", "")))
+            verdict = ResponseStatus.NOT_MODIFIED if reply.word == "304" else ResponseStatus.SERVED
+            self.answer(attempt.request, FinalResponse(verdict, reply.body, reply.fields.get("ver", "")))
         self._book.ended(
             attempt,
             outcome,
@@ -125,15 +130,15 @@
     def _wrong(self, attempt: Attempt, reply: Reply) -> str:
         """What is wrong with an answer that says ok. Guards against passing on a copy that won't do."""
         asked = attempt.request.asked
-        cls = self._settings.classes[asked.kind]
-        if reply.word == "304" and (not asked.seen or reply.fields.get("ver") != asked.seen):
+        cls = self._settings.classes[asked.class_index]
+        if reply.word == "304" and (not asked.client_etag or reply.fields.get("ver") != asked.client_etag):
             return "unchanged, but not the client's copy"
         if reply.word == "304" and reply.body:
             return "unchanged, but with bytes"
-        if cls.never_kept:
+        if cls.uncacheable:
             return ""
         born = _number(reply.fields.get("born", "")) or 0.0
-        if born < self._purges.newest(asked.key, asked.group, attempt.written_at):
+        if born < self._purges.newest(asked.object_key, asked.purge_group, attempt.written_at):
             return "older than a purge"
         oldest, age = self._oldest(cls, attempt), attempt.written_at - self._peer_time.local(born)
         return f"{age:.0f} ms old, asked for {oldest:.0f}" if oldest and age > oldest + SLACK else ""
@@ -141,7 +146,7 @@
     @staticmethod
     def _oldest(cls: ClassSettings, attempt: Attempt) -> float:
         """The age that was asked for; 0: any."""
-        return attempt.order.age or cls.fresh
+        return attempt.order.max_age or cls.freshness_lifetime
 
     def _load(self, meter: str) -> tuple[float, ...]:
         """The load report, in the order of the settings; empty without a whole one.
@@ -149,5 +154,5 @@
         Guards against a figure that can't be read passing for an idle cache.
         """
         told = dict(pair.split(":", 1) for pair in meter.split(";") if ":" in pair)
-        figures = [_number(told.get(name, "")) for name in self._settings.report_fields]
+        figures = [_number(told.get(name, "")) for name in self._settings.load_report_fields]
         return tuple(figure for figure in figures if figure is not None) if None not in figures else ()
--- a/edge_router/server/server.py
+++ b/edge_router/server/server.py
@@ -128,7 +128,7 @@
     async def run(self, listener: socket.socket) -> None:
         """Serves until SIGTERM, and then finishes what was taken; reads its configuration anew on SIGHUP."""
         for event in self._config.known:
-            self._route.told(event)
+            self._route.on_discovery_event(event)
         with trio.open_signal_receiver(*SIGNALS) as signals:
             signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)  # those that came during the start come now
             for name, task in (
--- a/edge_router/simulator_adapter.py
+++ b/edge_router/simulator_adapter.py
@@ -38,8 +38,8 @@
 _OUT_TEXT = struct.Struct(">BIH")
 
 _OUTCOMES = {int(o): o for o in i.Outcome}
-_STATES = {int(s): s for s in i.NodeState}
-_FORMS = {int(f): f for f in i.ListKind}
+_STATES = {int(s): s for s in i.EndpointState}
+_FORMS = {int(f): f for f in i.UpdateKind}
 _LAUNCH_CODE, _STOP_CODE, _LIST_CODE, _PEER_CODE = 70, 50, 30, 90
 
 
@@ -53,40 +53,40 @@
 
 def _read_request(body: bytes, at: int) -> tuple[int, i.Event, int]:
     inst, req, kind, _, key, grace, size, group, part, _ = _INCOMING.unpack_from(body, at)
-    return inst, i.Request(req, kind, key, grace, size, int(group), int(part)), at + _INCOMING.size
+    return inst, i.RequestReceived(req, kind, key, grace, size, int(group), int(part)), at + _INCOMING.size
 
 
 def _read_done(body: bytes, at: int) -> tuple[int, i.Event, int]:
     inst, req, attempt, addr, port, code, took, closed, note, waited, count = _DONE.unpack_from(body, at)
     load, end = _floats(body, at + _DONE.size, count)
     node, outcome = addr << 16 | port, _OUTCOMES.get(code, i.Outcome.UNKNOWN)
-    return inst, i.Ended(req, attempt, node, outcome, took, bool(closed), note, waited, load), end
+    return inst, i.AttemptEnded(req, attempt, node, outcome, took, bool(closed), note, waited, load), end
 
 
 def _read_due(body: bytes, at: int) -> tuple[int, i.Event, int]:
     inst, token = _DUE.unpack_from(body, at)
-    return inst, i.Due(token), at + _DUE.size
+    return inst, i.TimerFired(token), at + _DUE.size
 
 
 def _read_started(body: bytes, at: int) -> tuple[int, i.Event, int]:
     inst, req, attempt, addr, port, _ = _STARTED.unpack_from(body, at)
-    return inst, i.Started(req, attempt, addr << 16 | port), at + _STARTED.size
+    return inst, i.ResponseStarted(req, attempt, addr << 16 | port), at + _STARTED.size
 
 
 def _read_probed(body: bytes, at: int) -> tuple[int, i.Event, int]:
     inst, took, code, addr, port, count = _PROBED.unpack_from(body, at)
     load, end = _floats(body, at + _PROBED.size, count)
-    return inst, i.Probed(addr << 16 | port, code == i.Outcome.OK, took, load), end
+    return inst, i.HealthCheckResult(addr << 16 | port, code == i.Outcome.OK, took, load), end
 
 
 def _read_purged(body: bytes, at: int) -> tuple[int, i.Event, int]:
     inst, age, group, key = _PURGED.unpack_from(body, at)
-    return inst, i.Purged(age, group, key), at + _PURGED.size
+    return inst, i.PurgeReceived(age, group, key), at + _PURGED.size
 
 
 def _read_left(body: bytes, at: int) -> tuple[int, i.Event, int]:
     inst, req = _DUE.unpack_from(body, at)
-    return inst, i.Left(req), at + _DUE.size
+    return inst, i.ClientDisconnected(req), at + _DUE.size
 
 
 def _read_list(body: bytes, at: int) -> tuple[int, i.Event, int]:
@@ -95,11 +95,11 @@
     end = at + count * _ENTRY.size
     nodes = []
     for kind, started, state, cell, addr, port, zone, weight in _ENTRY.iter_unpack(body[at:end]):
-        state = _STATES.get(state, i.NodeState.DRAINING)
-        nodes.append(i.Node(addr << 16 | port, kind, started, state, cell, zone, weight))
+        state = _STATES.get(state, i.EndpointState.DRAINING)
+        nodes.append(i.Endpoint(addr << 16 | port, kind, started, state, cell, zone, weight))
     if len(nodes) != count:
         raise WireError("a list ends early")
-    return inst, i.Listed(_FORMS.get(form, i.ListKind.FAILED), tuple(nodes)), end
+    return inst, i.EndpointListUpdate(_FORMS.get(form, i.UpdateKind.FAILED), tuple(nodes)), end
 
 
 _READERS: dict[int, Callable[[bytes, int], tuple[int, i.Event, int]]] = {
@@ -114,20 +114,20 @@
 }
 
 
-def _write_get(inst: int, act: i.Get) -> bytes:
-    node, source = act.node, act.source
+def _write_get(inst: int, act: i.StartAttempt) -> bytes:
+    node, source = act.endpoint_id, act.source_id
     return _OUT_GET.pack(
         80,
         inst,
-        act.req,
+        act.request_number,
         node >> 16,
         node & 65535,
-        act.cut_at,
+        act.deadline,
         source >> 16,
         source & 65535,
-        act.keep,
-        act.age,
-        act.how,
+        act.cache_rank,
+        act.max_age,
+        act.fill_mode,
     )
 
 
@@ -137,14 +137,14 @@
 
 
 _WRITERS: dict[type, Callable[[int, Any], bytes]] = {
-    i.Get: _write_get,
-    i.Cancel: lambda inst, act: _OUT_CANCEL.pack(30, inst, act.req, act.attempt),
-    i.Refuse: lambda inst, act: _OUT_REFUSE.pack(60, inst, act.req, act.pause),
-    i.Fail: lambda inst, act: _OUT_FAIL.pack(40, inst, act.req),
-    i.Timer: lambda inst, act: _OUT_TIMER.pack(110, inst, act.token, act.at),
-    i.Probe: lambda inst, act: _OUT_PROBE.pack(20, inst, act.node >> 16, act.node & 65535),
-    i.Watch: lambda inst, act: _OUT_WATCH.pack(70, inst, 1),
-    i.Log: lambda inst, act: _write_text(50, inst, act.text),
+    i.StartAttempt: _write_get,
+    i.CancelAttempt: lambda inst, act: _OUT_CANCEL.pack(30, inst, act.request_number, act.attempt_index),
+    i.Reject: lambda inst, act: _OUT_REFUSE.pack(60, inst, act.request_number, act.retry_after),
+    i.Fail: lambda inst, act: _OUT_FAIL.pack(40, inst, act.request_number),
+    i.SetTimer: lambda inst, act: _OUT_TIMER.pack(110, inst, act.token, act.fire_at),
+    i.StartHealthCheck: lambda inst, act: _OUT_PROBE.pack(20, inst, act.endpoint_id >> 16, act.endpoint_id & 65535),
+    i.WatchEndpoints: lambda inst, act: _OUT_WATCH.pack(70, inst, 1),
+    i.LogMessage: lambda inst, act: _write_text(50, inst, act.text),
 }
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -12,18 +12,18 @@
 
 from edge_router.decision.messages import (
     Action,
-    Ended,
+    AttemptEnded,
+    Endpoint,
+    EndpointListUpdate,
+    EndpointState,
     Event,
-    Get,
-    Listed,
-    ListKind,
-    Node,
-    NodeState,
     Outcome,
-    Request,
+    RequestReceived,
+    StartAttempt,
+    UpdateKind,
 )
 from edge_router.decision.policy import Director
-from edge_router.decision.settings import ClassSettings, Effect, KeyGroup, Settings
+from edge_router.decision.settings import ClassSettings, DeduplicationScope, Idempotency, Settings
 
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
 MOST_KNOWN_RED = 3
@@ -37,18 +37,18 @@
     """A request class with default settings, changed by those given."""
     base = ClassSettings(
         name="pictures",
-        worth=2.0,
-        late_worth=0.1,
-        aim=700.0,
-        aim_stretch=1.5,
+        priority_weight=2.0,
+        late_priority_weight=0.1,
+        latency_objective=700.0,
+        latency_objective_per_work=1.5,
         deadline=4000.0,
-        effect=Effect.SAFE,
-        group=KeyGroup.ALL,
-        window=2000.0,
-        fresh=0.0,
-        stale=0.0,
-        stale_worth=0.5,
-        never_kept=False,
+        idempotency=Idempotency.IDEMPOTENT,
+        deduplication_scope=DeduplicationScope.ALL,
+        deduplication_window=2000.0,
+        freshness_lifetime=0.0,
+        stale_lifetime=0.0,
+        stale_priority_weight=0.5,
+        uncacheable=False,
     )
     return replace(base, **changes)
 
@@ -58,56 +58,56 @@
     base = Settings(
         classes=classes or (make_class(),),
         zone=1,
-        fleet=2,
-        zone_directors=(0, 1, 1),
-        zone_link=(0.0, 20000.0, 20000.0),
-        client_pace=1000.0,
-        parent_kind=1,
-        origin_kind=2,
-        joins=True,
-        weighted=False,
-        may_bypass=False,
-        siblings="any",
-        cold_from=0.2,
-        warm_up=10000.0,
-        fall_multiple=2.0,
-        fall_window=1000.0,
-        parent_cold_from=0.1,
-        parent_warm_up=12000.0,
-        parent_fall_multiple=2.0,
-        purge_grace=500.0,
-        purge_done=5000.0,
-        drain_grace=250.0,
-        most_attempts=4,
-        second_copies=True,
-        may_cancel=True,
-        may_probe=True,
-        may_pause=True,
-        longest_pause=900.0,
+        fleet_size=2,
+        routers_by_zone=(0, 1, 1),
+        zone_link_bandwidth=(0.0, 20000.0, 20000.0),
+        client_bandwidth=1000.0,
+        parent_role=1,
+        origin_role=2,
+        coalesces_fills=True,
+        endpoints_weighted=False,
+        bypass_allowed=False,
+        sibling_fills="any",
+        slow_start_initial_capacity=0.2,
+        slow_start_duration=10000.0,
+        overload_factor=2.0,
+        overload_window=1000.0,
+        parent_slow_start_initial_capacity=0.1,
+        parent_slow_start_duration=12000.0,
+        parent_overload_factor=2.0,
+        purge_notice_time=500.0,
+        purge_settle_time=5000.0,
+        drain_grace_period=250.0,
+        max_attempts=4,
+        hedging_allowed=True,
+        cancellation_allowed=True,
+        health_checks_allowed=True,
+        retry_after_allowed=True,
+        max_retry_after=900.0,
         connect_timeout=300.0,
-        report_fields=(),
-        list_by_asking=False,
+        load_report_fields=(),
+        endpoint_list_polled=False,
     )
     return replace(base, **changes)
 
 
-def make_endpoints() -> list[Node]:
+def make_endpoints() -> list[Endpoint]:
     """Four caches, two parents and an origin, all ready."""
-    ready = NodeState.READY
-    nodes = [Node(n, 0, 0.0, ready, n % 2, 1, 1.0) for n in CACHES]
-    nodes += [Node(n, 1, 0.0, ready, 0, 0, 1.0) for n in PARENTS]
-    return [*nodes, Node(ORIGIN, 2, 0.0, ready, 0, 0, 1.0)]
+    ready = EndpointState.READY
+    nodes = [Endpoint(n, 0, 0.0, ready, n % 2, 1, 1.0) for n in CACHES]
+    nodes += [Endpoint(n, 1, 0.0, ready, 0, 0, 1.0) for n in PARENTS]
+    return [*nodes, Endpoint(ORIGIN, 2, 0.0, ready, 0, 0, 1.0)]
 
 
 class PolicyHarness:
     """One routing policy, its clock and the requests it was given."""
 
-    def __init__(self, settings: Settings | None = None, nodes: list[Node] | None = None) -> None:
+    def __init__(self, settings: Settings | None = None, nodes: list[Endpoint] | None = None) -> None:
         self.routing_policy = Director(settings or make_settings(), 7)
         self.now = 100_000.0
         self.last_request_id = 0
         self.endpoints = make_endpoints() if nodes is None else nodes
-        self.handle(Listed(ListKind.CACHED, tuple(self.endpoints)))
+        self.handle(EndpointListUpdate(UpdateKind.CACHED, tuple(self.endpoints)))
 
     def handle(self, event: Event, wait: float = 0.0) -> list[Action]:
         """Advances the clock by `wait` milliseconds and hands the event to the policy."""
@@ -117,12 +117,12 @@
     def request(self, key: int = 5, wait: float = 1.0, **changes: Any) -> list[Action]:
         """A new request for an object, after `wait` milliseconds."""
         self.last_request_id += 1
-        request = Request(self.last_request_id, 0, key, 4000.0, 100.0, 3, 0)
+        request = RequestReceived(self.last_request_id, 0, key, 4000.0, 100.0, 3, 0)
         return self.handle(request._replace(**changes), wait)
 
     def end_attempt(
         self,
-        attempt: Get,
+        attempt: StartAttempt,
         outcome: Outcome = Outcome.OK,
         wait: float = 1.0,
         note: int = 0,
@@ -132,19 +132,29 @@
         """Ends an attempt after `wait` milliseconds; `closed` defaults to true for a successful one only."""
         is_closed = outcome is Outcome.OK if closed is None else closed
         return self.handle(
-            Ended(attempt.req, attempt_index, attempt.node, outcome, wait, is_closed, note, 0.0, ()),
+            AttemptEnded(
+                attempt.request_number,
+                attempt_index,
+                attempt.endpoint_id,
+                outcome,
+                wait,
+                is_closed,
+                note,
+                0.0,
+                (),
+            ),
             wait,
         )
 
-    def update_endpoint(self, node: int, kind: ListKind = ListKind.DELTA, **changes: Any) -> list[Action]:
+    def update_endpoint(self, node: int, kind: UpdateKind = UpdateKind.DELTA, **changes: Any) -> list[Action]:
         """An endpoint list update with one of the original endpoints, changed as given."""
-        entry = next(n for n in self.endpoints if n.node == node)
-        return self.handle(Listed(kind, (entry._replace(**changes),)))
+        entry = next(n for n in self.endpoints if n.endpoint_id == node)
+        return self.handle(EndpointListUpdate(kind, (entry._replace(**changes),)))
 
 
-def started_attempts(actions: list[Action]) -> list[Get]:
+def started_attempts(actions: list[Action]) -> list[StartAttempt]:
     """The attempts that the actions start."""
-    return [act for act in actions if isinstance(act, Get)]
+    return [act for act in actions if isinstance(act, StartAttempt)]
 
 
 @pytest.fixture
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -102,13 +102,13 @@
     link = Link()
     link.batch(0.0, 2, launch(3) + listed(3))
     expected = [
-        (i.Cancel(1, 2), (30, 3, 1, 2), ">BIIB"),
+        (i.CancelAttempt(1, 2), (30, 3, 1, 2), ">BIIB"),
         (i.Fail(1), (40, 3, 1), ">BII"),
-        (i.Refuse(1, 5.0), (60, 3, 1, 5.0), ">BIId"),
-        (i.Probe(0xA0000010050), (20, 3, 0xA000001, 80), ">BIIH"),
-        (i.Watch(), (70, 3, 1), ">BIB"),
-        (i.Timer(4, 9.0), (110, 3, 4, 9.0), ">BIId"),
-        (i.Log("hi"), (50, 3, 2, b"hi"), ">BIH2s"),
+        (i.Reject(1, 5.0), (60, 3, 1, 5.0), ">BIId"),
+        (i.StartHealthCheck(0xA0000010050), (20, 3, 0xA000001, 80), ">BIIH"),
+        (i.WatchEndpoints(), (70, 3, 1), ">BIB"),
+        (i.SetTimer(4, 9.0), (110, 3, 4, 9.0), ">BIId"),
+        (i.LogMessage("hi"), (50, 3, 2, b"hi"), ">BIH2s"),
     ]
     for action, fields, form in expected:
         assert struct.unpack(form, simulator_adapter._WRITERS[type(action)](3, action)) == fields
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -11,9 +11,9 @@
 from router_harness import SETTINGS
 
 from edge_router.config.settings_reader import settings_from
-from edge_router.decision.messages import ListKind, Node, NodeState
-from edge_router.discovery.events import Member, MembersTold
-from edge_router.proxy.exchange import Answer, Asked, Verdict
+from edge_router.decision.messages import Endpoint, EndpointState, UpdateKind
+from edge_router.discovery.events import EndpointAddress, EndpointsChanged
+from edge_router.proxy.exchange import FinalResponse, IncomingRequest, ResponseStatus
 from edge_router.proxy.request_router import Route
 from edge_router.runtime.clock import Clock
 from edge_router.runtime.memory_budget import Budget
@@ -32,9 +32,9 @@
     """The client of a request; collects the responses."""
 
     def __init__(self) -> None:
-        self.answers: list[Answer] = []
+        self.answers: list[FinalResponse] = []
 
-    def reply(self, answer: Answer) -> None:
+    def reply(self, answer: FinalResponse) -> None:
         self.answers.append(answer)
 
 
@@ -51,11 +51,13 @@
         self.clock = clock
         self.route.send.most_links = 8
         kinds = ((0x10, 0, 1), (0x11, 0, 1), (0x30, 2, 0))
-        self.route.told(
-            MembersTold(
+        self.route.on_discovery_event(
+            EndpointsChanged(
                 True,
                 tuple(
-                    Member(Node(node, kind, 0.0, NodeState.READY, 0, zone, 9000.0), "127.0.0.1", 1)
+                    EndpointAddress(
+                        Endpoint(node, kind, 0.0, EndpointState.READY, 0, zone, 9000.0), "127.0.0.1", 1
+                    )
                     for node, kind, zone in kinds
                 ),
             )
@@ -67,7 +69,7 @@
 
     def request(self, client: Client) -> None:
         request = self.route.asked(
-            Asked(
+            IncomingRequest(
                 "9b1f03aa5c7e2d41",
                 "image",
                 "7f3a9c21e0b4d655",
@@ -101,7 +103,7 @@
     bench.request(client)
     while bench.channels:
         bench.channels.pop(0).ended("refused")
-    assert [answer.verdict for answer in client.answers] == [Verdict.REFUSED]
+    assert [answer.status for answer in client.answers] == [ResponseStatus.REJECTED]
     del client
     assert held() is None
 
@@ -109,5 +111,5 @@
 def test_hash_rings_of_a_replaced_endpoint_list_are_freed(policy: PolicyHarness) -> None:
     policy.request(key=1)
     held = [weakref.ref(policy.routing_policy._caches), weakref.ref(policy.routing_policy._parents)]
-    policy.update_endpoint(CACHES[0], ListKind.DELTA, weight=3.0)
+    policy.update_endpoint(CACHES[0], UpdateKind.DELTA, weight=3.0)
     assert [ring() for ring in held] == [None, None]
--- a/tests/test_policy_load.py
+++ b/tests/test_policy_load.py
@@ -7,42 +7,44 @@
 import pytest
 from conftest import ORIGIN, PARENTS, PolicyHarness, make_endpoints, make_settings, started_attempts
 
-from edge_router.decision.messages import Ended, Get, How, Note, Outcome, Refuse
+from edge_router.decision.messages import AttemptEnded, FillMode, FillResult, Outcome, Reject, StartAttempt
 from edge_router.decision.policy import Load
 
 
 def test_overloaded_cache_is_skipped_in_hash_order(policy: PolicyHarness) -> None:
     order = policy.routing_policy._caches.order(1)
-    asked = [started_attempts(policy.request(key=1, size=600.0)) for _ in range(12)]
-    used = [attempt[0].node for attempt in asked if attempt]
+    asked = [started_attempts(policy.request(key=1, size_kb=600.0)) for _ in range(12)]
+    used = [attempt[0].endpoint_id for attempt in asked if attempt]
     assert used[0] == order[0] and used[-1] != order[0]
 
 
 def test_request_that_would_miss_its_deadline_everywhere_is_rejected_at_once(policy: PolicyHarness) -> None:
-    answers = [policy.request(key=n, size=600.0)[0] for n in range(200)]
-    assert isinstance(answers[-1], Refuse)
-    assert started_attempts(policy.request(key=900, size=1.0))
+    answers = [policy.request(key=n, size_kb=600.0)[0] for n in range(200)]
+    assert isinstance(answers[-1], Reject)
+    assert started_attempts(policy.request(key=900, size_kb=1.0))
 
 
 def test_with_an_overloaded_link_the_home_is_only_asked_for_a_cached_copy() -> None:
-    policy = PolicyHarness(make_settings(weighted=True), [n._replace(weight=100.0) for n in make_endpoints()])
-    asked = [started_attempts(policy.request(key=n, size=400.0))[0] for n in range(150)]
-    assert asked[0].source in PARENTS
-    looks = [attempt for attempt in asked if attempt.source == attempt.node]
+    policy = PolicyHarness(
+        make_settings(endpoints_weighted=True), [n._replace(weight=100.0) for n in make_endpoints()]
+    )
+    asked = [started_attempts(policy.request(key=n, size_kb=400.0))[0] for n in range(150)]
+    assert asked[0].source_id in PARENTS
+    looks = [attempt for attempt in asked if attempt.source_id == attempt.endpoint_id]
     assert looks and asked[-1] in looks
     missed = policy.end_attempt(asked[-1], Outcome.MISS)
-    assert isinstance(missed[-1], Refuse) and not started_attempts(missed)
+    assert isinstance(missed[-1], Reject) and not started_attempts(missed)
 
 
 def test_link_of_unknown_capacity_is_overloaded_only_once_transfers_are_slow() -> None:
     """Its zone may fill as many objects at once as arrive fast enough."""
-    settings = make_settings(weighted=True, zone_link=(0.0, 0.0, 0.0))
+    settings = make_settings(endpoints_weighted=True, zone_link_bandwidth=(0.0, 0.0, 0.0))
     policy = PolicyHarness(settings, [n._replace(weight=500.0) for n in make_endpoints()])
-    out = [started_attempts(policy.request(key=key, size=400.0))[0] for key in range(12)]
-    assert all(attempt.source in PARENTS for attempt in out)
+    out = [started_attempts(policy.request(key=key, size_kb=400.0))[0] for key in range(12)]
+    assert all(attempt.source_id in PARENTS for attempt in out)
     policy.routing_policy._link.felt(policy.now, 4000.0, 400.0)
-    look = started_attempts(policy.request(key=99, size=400.0))[0]
-    assert look.source == look.node
+    look = started_attempts(policy.request(key=99, size_kb=400.0))[0]
+    assert look.source_id == look.endpoint_id
 
 
 def test_slow_responses_from_one_cache_move_large_objects_to_the_next(policy: PolicyHarness) -> None:
@@ -50,11 +52,11 @@
     order = policy.routing_policy._caches.order(1)
     for _ in range(4):
         attempt = started_attempts(policy.request(key=1))[0]
-        assert attempt.node == order[0]
-        policy.end_attempt(attempt, wait=500.0, note=Note.HIT)
-    assert started_attempts(policy.request(key=1, size=600.0))[0].node == order[1]
-    assert started_attempts(policy.request(key=1, size=1.0))[0].node == order[0]
-    assert started_attempts(policy.request(key=1, size=600.0, wait=5000.0))[0].node == order[0]
+        assert attempt.endpoint_id == order[0]
+        policy.end_attempt(attempt, wait=500.0, note=FillResult.HIT)
+    assert started_attempts(policy.request(key=1, size_kb=600.0))[0].endpoint_id == order[1]
+    assert started_attempts(policy.request(key=1, size_kb=1.0))[0].endpoint_id == order[0]
+    assert started_attempts(policy.request(key=1, size_kb=600.0, wait=5000.0))[0].endpoint_id == order[0]
 
 
 def test_share_of_a_link_allows_for_variance_until_slowness_is_measured() -> None:
@@ -69,42 +71,52 @@
 
 def test_overloaded_origin_is_relieved_for_some_time_and_used_again_later(policy: PolicyHarness) -> None:
     for key in range(12):
-        attempt: Get | None = started_attempts(policy.request(key=key, size=1.0))[0]
+        attempt: StartAttempt | None = started_attempts(policy.request(key=key, size_kb=1.0))[0]
         while attempt:
-            number = len(policy.routing_policy._held[attempt.req].attempts) - 1
+            number = len(policy.routing_policy._held[attempt.request_number].attempts) - 1
             more = started_attempts(
-                policy.end_attempt(attempt, Outcome.FULL, note=Note.ORIGIN_FAILED, attempt_index=number)
+                policy.end_attempt(
+                    attempt, Outcome.OVERLOADED, note=FillResult.ORIGIN_FAILED, attempt_index=number
+                )
             )
             attempt = more[0] if more else None
-    asked = [started_attempts(policy.request(key=key, size=1.0))[0] for key in range(100, 160)]
-    spared = [attempt for attempt in asked if attempt.how & How.HELD_ONLY]
+    asked = [started_attempts(policy.request(key=key, size_kb=1.0))[0] for key in range(100, 160)]
+    spared = [attempt for attempt in asked if attempt.fill_mode & FillMode.CACHED_ONLY]
     assert len(spared) > 40
-    ended = policy.end_attempt(spared[-1], Outcome.MISS, note=Note.SOURCE_LACKS)
-    assert isinstance(ended[-1], Refuse) and not started_attempts(ended)
-    later = [started_attempts(policy.request(key=key, size=1.0, wait=2000.0))[0] for key in range(200, 220)]
-    assert not any(attempt.how & How.HELD_ONLY for attempt in later[8:])
+    ended = policy.end_attempt(spared[-1], Outcome.MISS, note=FillResult.SOURCE_MISS)
+    assert isinstance(ended[-1], Reject) and not started_attempts(ended)
+    later = [
+        started_attempts(policy.request(key=key, size_kb=1.0, wait=2000.0))[0] for key in range(200, 220)
+    ]
+    assert not any(attempt.fill_mode & FillMode.CACHED_ONLY for attempt in later[8:])
 
 
 def test_slow_fills_at_one_cache_are_attributed_to_it_and_not_to_the_link() -> None:
-    policy = PolicyHarness(make_settings(weighted=True), [n._replace(weight=100.0) for n in make_endpoints()])
+    policy = PolicyHarness(
+        make_settings(endpoints_weighted=True), [n._replace(weight=100.0) for n in make_endpoints()]
+    )
     slow = policy.routing_policy._caches.order(1)[0]
     for key in range(60):
-        attempt = started_attempts(policy.request(key=key, size=100.0))[0]
-        policy.end_attempt(attempt, wait=1500.0 if attempt.node == slow else 100.0, note=Note.FILLED)
+        attempt = started_attempts(policy.request(key=key, size_kb=100.0))[0]
+        policy.end_attempt(
+            attempt, wait=1500.0 if attempt.endpoint_id == slow else 100.0, note=FillResult.FILLED
+        )
     assert policy.routing_policy._link.slowed(policy.now) < 2.0
-    assert started_attempts(policy.request(key=1, size=600.0))[0].source in PARENTS
+    assert started_attempts(policy.request(key=1, size_kb=600.0))[0].source_id in PARENTS
 
 
 def test_overload_threshold_is_lower_beside_many_routers() -> None:
     """The load that other routers add during a response is not visible."""
-    alone = PolicyHarness(make_settings(zone_directors=(0, 1, 1)))
-    beside = PolicyHarness(make_settings(zone_directors=(0, 40, 1), fleet=41))
+    alone = PolicyHarness(make_settings(routers_by_zone=(0, 1, 1)))
+    beside = PolicyHarness(make_settings(routers_by_zone=(0, 40, 1), fleet_size=41))
     kept = []
     for policy in (alone, beside):
         for _ in range(2):
-            attempt = started_attempts(policy.request(key=1, size=100.0))[0]
-            policy.end_attempt(attempt, wait=215.0, note=Note.HIT)
-        kept.append(started_attempts(policy.request(key=1, size=1500.0))[0].node == attempt.node)
+            attempt = started_attempts(policy.request(key=1, size_kb=100.0))[0]
+            policy.end_attempt(attempt, wait=215.0, note=FillResult.HIT)
+        kept.append(
+            started_attempts(policy.request(key=1, size_kb=1500.0))[0].endpoint_id == attempt.endpoint_id
+        )
     assert kept == [True, False]
 
 
@@ -118,45 +130,61 @@
     for _ in range(40):
         link.learn(30, 3.0)
     assert link.carries == pytest.approx(10.0)
-    settings = make_settings(weighted=True, zone_link=(0.0, 0.0, 0.0))
+    settings = make_settings(endpoints_weighted=True, zone_link_bandwidth=(0.0, 0.0, 0.0))
     policy = PolicyHarness(settings, [n._replace(weight=500.0) for n in make_endpoints()])
     for key in range(1, 41):
-        policy.request(key=key, size=400.0)
+        policy.request(key=key, size_kb=400.0)
     for key in range(1, 41):
         node, took = policy.routing_policy._held[key].attempts[0].node, 1200.0
-        policy.handle(Ended(key, 0, node, Outcome.OK, took, True, Note.FILLED, 0.0, ()))
+        policy.handle(AttemptEnded(key, 0, node, Outcome.OK, took, True, FillResult.FILLED, 0.0, ()))
     policy.now += 60_000.0
     assert policy.routing_policy._link.slowed(policy.now) < 1.1
-    out = [started_attempts(policy.request(key=key, size=400.0))[0] for key in range(100, 160)]
-    assert out[0].source in PARENTS and out[-1].source == out[-1].node
+    out = [started_attempts(policy.request(key=key, size_kb=400.0))[0] for key in range(100, 160)]
+    assert out[0].source_id in PARENTS and out[-1].source_id == out[-1].endpoint_id
 
 
 def test_starting_router_does_not_take_caches_of_unknown_capacity_for_overloaded() -> None:
-    policy = PolicyHarness(make_settings(zone_link=(0.0, 0.0, 0.0)))
-    out = [started_attempts(policy.request(key=key, size=400.0)) for key in range(30)]
+    policy = PolicyHarness(make_settings(zone_link_bandwidth=(0.0, 0.0, 0.0)))
+    out = [started_attempts(policy.request(key=key, size_kb=400.0)) for key in range(30)]
     assert all(out)
     for gotten in out:
-        policy.handle(Ended(gotten[0].req, 0, gotten[0].node, Outcome.OK, 900.0, True, Note.HIT, 0.0, ()))
-    learned = policy.routing_policy._load(out[-1][0].node).carries
+        policy.handle(
+            AttemptEnded(
+                gotten[0].request_number,
+                0,
+                gotten[0].endpoint_id,
+                Outcome.OK,
+                900.0,
+                True,
+                FillResult.HIT,
+                0.0,
+                (),
+            )
+        )
+    learned = policy.routing_policy._load(out[-1][0].endpoint_id).carries
     assert 1.0 <= learned < math.inf
 
 
 def test_parent_of_unknown_capacity_stays_the_source_until_transfers_are_slow() -> None:
     """Its objects are shared there, whatever number of fills is in flight."""
-    nodes = [n._replace(weight=0.0 if n.kind == 1 else 500.0) for n in make_endpoints()]
-    policy = PolicyHarness(make_settings(weighted=True, zone_link=(0.0, 0.0, 0.0)), nodes)
+    nodes = [n._replace(weight=0.0 if n.role == 1 else 500.0) for n in make_endpoints()]
+    policy = PolicyHarness(make_settings(endpoints_weighted=True, zone_link_bandwidth=(0.0, 0.0, 0.0)), nodes)
     for key in range(40):
-        attempt = started_attempts(policy.request(key=key, size=400.0))[0]
-        assert attempt.source == policy.routing_policy._parents.order(key)[0]
-    policy.routing_policy._load(attempt.source).felt(policy.now, 90_000.0, 1000.0)
-    assert started_attempts(policy.request(key=39, size=400.0))[0].source != attempt.source
+        attempt = started_attempts(policy.request(key=key, size_kb=400.0))[0]
+        assert attempt.source_id == policy.routing_policy._parents.order(key)[0]
+    policy.routing_policy._load(attempt.source_id).felt(policy.now, 90_000.0, 1000.0)
+    assert started_attempts(policy.request(key=39, size_kb=400.0))[0].source_id != attempt.source_id
 
 
 def test_fills_from_an_overloaded_parent_move_to_the_next_source() -> None:
-    nodes = [n._replace(weight=4.0 if n.kind == 1 else 200.0) for n in make_endpoints()]
-    policy = PolicyHarness(make_settings(weighted=True, zone_link=(0.0, 900_000.0, 0.0)), nodes)
+    nodes = [n._replace(weight=4.0 if n.role == 1 else 200.0) for n in make_endpoints()]
+    policy = PolicyHarness(
+        make_settings(endpoints_weighted=True, zone_link_bandwidth=(0.0, 900_000.0, 0.0)), nodes
+    )
     sources = [
-        attempt.source for n in range(60) for attempt in started_attempts(policy.request(key=n, size=500.0))
+        attempt.source_id
+        for n in range(60)
+        for attempt in started_attempts(policy.request(key=n, size_kb=500.0))
     ]
     assert set(sources[:4]) <= set(PARENTS)
     assert set(sources[-20:]) == {ORIGIN}
--- a/tests/test_policy_outliers.py
+++ b/tests/test_policy_outliers.py
@@ -5,49 +5,58 @@
 import pytest
 from conftest import PolicyHarness, started_attempts
 
-from edge_router.decision.messages import Due, Listed, ListKind, Note, Outcome
+from edge_router.decision.messages import EndpointListUpdate, FillResult, Outcome, TimerFired, UpdateKind
 
 
 def test_failed_cache_is_ejected_and_tried_again_sparingly(policy: PolicyHarness) -> None:
     attempt = started_attempts(policy.request())[0]
     again = started_attempts(policy.end_attempt(attempt, Outcome.CONNECT_FAILED))[0]
-    assert again.node != attempt.node
+    assert again.endpoint_id != attempt.endpoint_id
     policy.end_attempt(again, attempt_index=1)
-    assert started_attempts(policy.request())[0].node != attempt.node
+    assert started_attempts(policy.request())[0].endpoint_id != attempt.endpoint_id
     tried = started_attempts(policy.request(wait=3000.0))[0]
-    assert tried.node == attempt.node
-    assert started_attempts(policy.request())[0].node != attempt.node
+    assert tried.endpoint_id == attempt.endpoint_id
+    assert started_attempts(policy.request())[0].endpoint_id != attempt.endpoint_id
     policy.end_attempt(tried)
-    assert started_attempts(policy.request())[0].node == attempt.node
+    assert started_attempts(policy.request())[0].endpoint_id == attempt.endpoint_id
 
 
-@pytest.mark.parametrize("form", [ListKind.DELTA, ListKind.FULL])
-def test_restarted_cache_is_not_ejected_for_earlier_failures(policy: PolicyHarness, form: ListKind) -> None:
+@pytest.mark.parametrize("form", [UpdateKind.DELTA, UpdateKind.FULL])
+def test_restarted_cache_is_not_ejected_for_earlier_failures(policy: PolicyHarness, form: UpdateKind) -> None:
     (attempt,) = started_attempts(policy.request())
     policy.end_attempt(attempt, Outcome.CONNECT_FAILED)
-    assert not policy.routing_policy._cache_health[attempt.node].usable(policy.now)
-    nodes = [n._replace(started=policy.now) if n.node == attempt.node else n for n in policy.endpoints]
-    policy.handle(Listed(form, tuple(nodes)))
-    assert policy.routing_policy._cache_health[attempt.node].usable(policy.now)
+    assert not policy.routing_policy._cache_health[attempt.endpoint_id].usable(policy.now)
+    nodes = [
+        n._replace(started_at=policy.now) if n.endpoint_id == attempt.endpoint_id else n
+        for n in policy.endpoints
+    ]
+    policy.handle(EndpointListUpdate(form, tuple(nodes)))
+    assert policy.routing_policy._cache_health[attempt.endpoint_id].usable(policy.now)
 
 
 def test_unresponsive_cache_is_ejected_after_a_few_attempts(policy: PolicyHarness) -> None:
     silent = started_attempts(policy.request())[0]
     asked = [silent, *(started_attempts(policy.request())[0] for _ in range(2))]
     policy.now += 1500.0
-    moved = [attempt for ask in asked for attempt in started_attempts(policy.handle(Due(ask.req)))]
-    assert moved[0].node == moved[0].source == silent.node  # just the answer may have been lost
-    assert moved[-1].node != silent.node
-    assert started_attempts(policy.request())[0].node != silent.node
+    moved = [
+        attempt
+        for ask in asked
+        for attempt in started_attempts(policy.handle(TimerFired(ask.request_number)))
+    ]
+    assert (
+        moved[0].endpoint_id == moved[0].source_id == silent.endpoint_id
+    )  # just the answer may have been lost
+    assert moved[-1].endpoint_id != silent.endpoint_id
+    assert started_attempts(policy.request())[0].endpoint_id != silent.endpoint_id
 
 
 def test_slow_cache_that_responds_is_not_ejected(policy: PolicyHarness) -> None:
-    big = started_attempts(policy.request(size=2000.0))[0]
+    big = started_attempts(policy.request(size_kb=2000.0))[0]
     small = [started_attempts(policy.request())[0] for _ in range(3)]
-    policy.end_attempt(small[0], wait=1000.0, note=Note.FILLED)
+    policy.end_attempt(small[0], wait=1000.0, note=FillResult.FILLED)
     for attempt in (big, *small[1:]):
-        assert not started_attempts(policy.handle(Due(attempt.req), 10.0))
-    assert started_attempts(policy.request(size=1.0))[0].node == big.node
+        assert not started_attempts(policy.handle(TimerFired(attempt.request_number), 10.0))
+    assert started_attempts(policy.request(size_kb=1.0))[0].endpoint_id == big.endpoint_id
 
 
 def test_unresponsive_source_is_distinguished_from_its_caches(policy: PolicyHarness) -> None:
@@ -55,19 +64,25 @@
     stuck = [first]
     answering = []
     for key in range(1, 200):
-        attempt = started_attempts(policy.request(key=key, size=10.0))[0]
-        if attempt.source == first.source and len(stuck) < 4:
+        attempt = started_attempts(policy.request(key=key, size_kb=10.0))[0]
+        if attempt.source_id == first.source_id and len(stuck) < 4:
             stuck.append(attempt)
         else:
             answering.append(attempt)
     for attempt in answering:
-        policy.end_attempt(attempt, note=Note.FILLED if attempt.source != first.source else Note.HIT)
-    moved = [attempt for ask in stuck for attempt in started_attempts(policy.handle(Due(ask.req), 600.0))]
-    assert moved and all(attempt.source != first.source for attempt in moved)
+        policy.end_attempt(
+            attempt, note=FillResult.FILLED if attempt.source_id != first.source_id else FillResult.HIT
+        )
+    moved = [
+        attempt
+        for ask in stuck
+        for attempt in started_attempts(policy.handle(TimerFired(ask.request_number), 600.0))
+    ]
+    assert moved and all(attempt.source_id != first.source_id for attempt in moved)
     assert all(
-        started_attempts(policy.request(key=key, size=10.0))[0].source != first.source
+        started_attempts(policy.request(key=key, size_kb=10.0))[0].source_id != first.source_id
         for key in range(300, 320)
     )
-    assert first.node in {
-        started_attempts(policy.request(key=key, size=10.0))[0].node for key in range(300, 320)
+    assert first.endpoint_id in {
+        started_attempts(policy.request(key=key, size_kb=10.0))[0].endpoint_id for key in range(300, 320)
     }
--- a/tests/test_policy_placement.py
+++ b/tests/test_policy_placement.py
@@ -15,16 +15,23 @@
     started_attempts,
 )
 
-from edge_router.decision.messages import Listed, ListKind, Node, NodeState, Note, Outcome
+from edge_router.decision.messages import (
+    Endpoint,
+    EndpointListUpdate,
+    EndpointState,
+    FillResult,
+    Outcome,
+    UpdateKind,
+)
 from edge_router.decision.policy import Ring
 
 
-def make_caches(count: int, weight: float = 1.0) -> list[Node]:
-    return [Node(n + 1, 0, 0.0, NodeState.READY, 0, 1, weight) for n in range(count)]
+def make_caches(count: int, weight: float = 1.0) -> list[Endpoint]:
+    return [Endpoint(n + 1, 0, 0.0, EndpointState.READY, 0, 1, weight) for n in range(count)]
 
 
 def test_shares_follow_the_endpoint_weights() -> None:
-    listed = [*make_caches(3), Node(9, 0, 0.0, NodeState.READY, 0, 1, 3.0)]
+    listed = [*make_caches(3), Endpoint(9, 0, 0.0, EndpointState.READY, 0, 1, 3.0)]
     homes = Counter(Ring(listed, True).order(key)[0] for key in range(6000))
     assert abs(homes[9] / 6000 - 0.5) < 0.03
     flat = Counter(Ring(listed, False).order(key)[0] for key in range(6000))
@@ -40,31 +47,37 @@
 
 def test_all_routers_choose_the_same_home_and_parent() -> None:
     one, two = PolicyHarness(), PolicyHarness(make_settings(zone=2))
-    two.handle(Listed(ListKind.FULL, tuple(n._replace(zone=2) if n.kind == 0 else n for n in two.endpoints)))
+    two.handle(
+        EndpointListUpdate(
+            UpdateKind.FULL, tuple(n._replace(zone=2) if n.role == 0 else n for n in two.endpoints)
+        )
+    )
     for key in range(50):
         for part in (0, 3):
-            first, other = (started_attempts(policy.request(key=key, part=part))[0] for policy in (one, two))
-            assert (first.node, first.source) == (other.node, other.source)
-            assert first.source in PARENTS
+            first, other = (
+                started_attempts(policy.request(key=key, segment=part))[0] for policy in (one, two)
+            )
+            assert (first.endpoint_id, first.source_id) == (other.endpoint_id, other.source_id)
+            assert first.source_id in PARENTS
 
 
 def test_parts_of_one_object_spread_over_the_caches_but_share_the_parent(policy: PolicyHarness) -> None:
-    used = [started_attempts(policy.request(key=77, part=part, size=1.0))[0] for part in range(24)]
-    assert {attempt.node for attempt in used} == set(CACHES)
-    assert len({attempt.source for attempt in used}) == 1
+    used = [started_attempts(policy.request(key=77, segment=part, size_kb=1.0))[0] for part in range(24)]
+    assert {attempt.endpoint_id for attempt in used} == set(CACHES)
+    assert len({attempt.source_id for attempt in used}) == 1
 
 
 def test_without_parents_fills_come_from_the_origin() -> None:
-    policy = PolicyHarness(nodes=[n for n in make_endpoints() if n.kind != 1])
-    assert started_attempts(policy.request())[0].source == ORIGIN
+    policy = PolicyHarness(nodes=[n for n in make_endpoints() if n.role != 1])
+    assert started_attempts(policy.request())[0].source_id == ORIGIN
 
 
 def test_hot_object_is_spread_and_rare_one_is_not(policy: PolicyHarness) -> None:
     used: dict[int, set[int]] = {1: set(), 2: set()}
     for n in range(600):
         key = 2 if n % 50 == 0 else 1 if n % 2 else 1000 + n % 90
-        attempt = started_attempts(policy.request(key=key, size=10.0))[0]
-        used.get(key, set()).add(attempt.node)
+        attempt = started_attempts(policy.request(key=key, size_kb=10.0))[0]
+        used.get(key, set()).add(attempt.endpoint_id)
         if n % 4 == 3:
             policy.end_attempt(attempt)
     assert len(used[1]) > 1 and len(used[2]) == 1
@@ -72,19 +85,19 @@
 
 def test_hot_object_is_spread_by_parts_and_each_part_stays_at_one_cache(policy: PolicyHarness) -> None:
     used: dict[int, set[int]] = {}
-    out = started_attempts(policy.request(key=7, size=10.0))[0]
+    out = started_attempts(policy.request(key=7, size_kb=10.0))[0]
     for n in range(900):
         key, part = (7, n % 12) if n % 3 else (1000 + n, 0)
-        attempt = started_attempts(policy.request(key=key, part=part, size=10.0))[0]
+        attempt = started_attempts(policy.request(key=key, segment=part, size_kb=10.0))[0]
         if key == 7:
-            used.setdefault(part, set()).add(attempt.node)
-        policy.end_attempt(out, note=Note.HIT, wait=10.0)
+            used.setdefault(part, set()).add(attempt.endpoint_id)
+        policy.end_attempt(out, note=FillResult.HIT, wait=10.0)
         out = attempt
     assert all(len(caches) == 1 for caches in used.values())
 
 
 def test_ageing_copy_is_revalidated_in_background_and_stale_one_serves_only_a_retry() -> None:
-    policy = PolicyHarness(make_settings(make_class(fresh=1000.0, stale=3000.0)))
+    policy = PolicyHarness(make_settings(make_class(freshness_lifetime=1000.0, stale_lifetime=3000.0)))
     attempt = started_attempts(policy.request())[0]
-    assert attempt.age == 1000.0 and attempt.how & 8
-    assert started_attempts(policy.end_attempt(attempt, Outcome.RESET))[0].age == 4000.0
+    assert attempt.max_age == 1000.0 and attempt.fill_mode & 8
+    assert started_attempts(policy.end_attempt(attempt, Outcome.RESET))[0].max_age == 4000.0
--- a/tests/test_policy_popularity.py
+++ b/tests/test_policy_popularity.py
@@ -4,7 +4,7 @@
 
 from conftest import make_settings
 
-from edge_router.decision.messages import Request
+from edge_router.decision.messages import RequestReceived
 from edge_router.decision.policy import FRESH_FOR, HALF_LIFE, TABLE_MOST, Director, Popularity
 
 
@@ -66,6 +66,6 @@
 
 
 def test_half_life_is_a_multiple_of_the_slow_start_duration() -> None:
-    routing_policy = Director(make_settings(warm_up=20_000.0), 1)
+    routing_policy = Director(make_settings(slow_start_duration=20_000.0), 1)
     assert routing_policy._popularity._half_life == HALF_LIFE * 20_000.0
-    assert Request(1, 0, 1, 1.0, 1.0, 0, 0).part == 0
+    assert RequestReceived(1, 0, 1, 1.0, 1.0, 0, 0).segment == 0
--- a/tests/test_policy_retries.py
+++ b/tests/test_policy_retries.py
@@ -4,32 +4,34 @@
 
 from conftest import ORIGIN, PolicyHarness, started_attempts
 
-from edge_router.decision.messages import Due, Note, Outcome
+from edge_router.decision.messages import FillResult, Outcome, TimerFired
 
 
 def test_lost_response_is_requested_again_at_the_same_cache(policy: PolicyHarness) -> None:
     lost, other = started_attempts(policy.request(key=1))[0], started_attempts(policy.request(key=1))[0]
-    policy.end_attempt(other, note=Note.HIT, wait=100.0)
-    again = started_attempts(policy.handle(Due(lost.req), 500.0))
-    assert [attempt.node for attempt in again] == [lost.node] and again[0].source == lost.node
+    policy.end_attempt(other, note=FillResult.HIT, wait=100.0)
+    again = started_attempts(policy.handle(TimerFired(lost.request_number), 500.0))
+    assert [attempt.endpoint_id for attempt in again] == [lost.endpoint_id] and again[
+        0
+    ].source_id == lost.endpoint_id
     assert policy.end_attempt(again[0], Outcome.MISS, attempt_index=1) == []  # the first may still come
 
 
 def test_overload_suppresses_hedged_requests(policy: PolicyHarness) -> None:
     stuck = started_attempts(policy.request(key=1))[0]
     for _ in range(8):
-        policy.end_attempt(started_attempts(policy.request(key=1))[0], note=Note.HIT, wait=300.0)
-    assert started_attempts(policy.handle(Due(stuck.req))) == []
+        policy.end_attempt(started_attempts(policy.request(key=1))[0], note=FillResult.HIT, wait=300.0)
+    assert started_attempts(policy.handle(TimerFired(stuck.request_number))) == []
 
 
 def test_failed_source_is_not_used_again_for_the_request(policy: PolicyHarness) -> None:
     attempt = started_attempts(policy.request())[0]
-    again = started_attempts(policy.end_attempt(attempt, Outcome.ERROR, note=Note.SOURCE_BROKE))[0]
-    assert again.source != attempt.source
+    again = started_attempts(policy.end_attempt(attempt, Outcome.ERROR, note=FillResult.SOURCE_FAILED))[0]
+    assert again.source_id != attempt.source_id
     last = started_attempts(
-        policy.end_attempt(again, Outcome.ERROR, note=Note.SOURCE_BROKE, attempt_index=1)
+        policy.end_attempt(again, Outcome.ERROR, note=FillResult.SOURCE_FAILED, attempt_index=1)
     )[0]
-    assert last.source == ORIGIN
+    assert last.source_id == ORIGIN
 
 
 def test_retry_budget_bounds_the_attempts(policy: PolicyHarness) -> None:
@@ -43,7 +45,7 @@
                     attempt[0],
                     Outcome.ERROR,
                     wait=0.1,
-                    attempt_index=len(policy.routing_policy._held[attempt[0].req].attempts) - 1,
+                    attempt_index=len(policy.routing_policy._held[attempt[0].request_number].attempts) - 1,
                 )
             )
     assert sent < 300 * 1.25
--- a/tests/test_policy_robustness.py
+++ b/tests/test_policy_robustness.py
@@ -9,42 +9,56 @@
 import pytest
 from conftest import CACHES, ORIGIN, PARENTS, PolicyHarness, make_endpoints, make_settings, started_attempts
 
-from edge_router.decision.messages import Due, Ended, Listed, ListKind, Node, NodeState, Outcome, Refuse
+from edge_router.decision.messages import (
+    AttemptEnded,
+    Endpoint,
+    EndpointListUpdate,
+    EndpointState,
+    Outcome,
+    Reject,
+    TimerFired,
+    UpdateKind,
+)
 from edge_router.decision.policy import Director
 
 
 def test_malformed_requests_are_answered(policy: PolicyHarness) -> None:
-    assert policy.request(kind=9) == [Refuse(1, 0.0, "class")]
-    assert len(policy.request(grace=0.0)) == 1
-    assert started_attempts(policy.request(size=0.0)) and started_attempts(policy.request(part=-1, group=-4))
+    assert policy.request(class_index=9) == [Reject(1, 0.0, "class")]
+    assert len(policy.request(time_remaining=0.0)) == 1
+    assert started_attempts(policy.request(size_kb=0.0)) and started_attempts(
+        policy.request(segment=-1, purge_group=-4)
+    )
 
 
 def test_unexpected_events_are_ignored(policy: PolicyHarness) -> None:
-    assert policy.handle(Ended(99, 0, 1, Outcome.OK, 1.0, True, 0, 0.0, ())) == []
+    assert policy.handle(AttemptEnded(99, 0, 1, Outcome.OK, 1.0, True, 0, 0.0, ())) == []
     attempt = started_attempts(policy.request())[0]
     assert policy.end_attempt(attempt, attempt_index=7) == []
     assert policy.end_attempt(attempt, note=77) == []
     assert policy.end_attempt(attempt) == []
-    assert policy.handle(Due(12345)) == []
+    assert policy.handle(TimerFired(12345)) == []
 
 
 def test_empty_and_inconsistent_endpoint_lists_are_tolerated() -> None:
     policy = PolicyHarness(nodes=[])
-    assert isinstance(policy.request()[0], Refuse)
+    assert isinstance(policy.request()[0], Reject)
     entries = make_endpoints()
-    strange = [Node(77, 9, -5.0, NodeState.READY, 9, 9, 0.0), Node(78, 1, 0.0, NodeState.READY, 0, 0, 0.0)]
-    policy.handle(Listed(ListKind.FULL, (*entries, *entries, *strange)))
-    assert started_attempts(policy.request())[0].node in CACHES
+    strange = [
+        Endpoint(77, 9, -5.0, EndpointState.READY, 9, 9, 0.0),
+        Endpoint(78, 1, 0.0, EndpointState.READY, 0, 0, 0.0),
+    ]
+    policy.handle(EndpointListUpdate(UpdateKind.FULL, (*entries, *entries, *strange)))
+    assert started_attempts(policy.request())[0].endpoint_id in CACHES
 
 
 def test_single_router_without_capacity_settings_works() -> None:
     settings = make_settings(
-        fleet=0,
-        zone_directors=(),
-        zone_link=(),
-        client_pace=0.0,
-        warm_up=0.0,
-        fall_window=0.0,
+        fleet_size=0,
+        routers_by_zone=(),
+        zone_link_bandwidth=(),
+        client_bandwidth=0.0,
+        slow_start_duration=0.0,
+        overload_window=0.0,
         connect_timeout=0.0,
     )
     policy = PolicyHarness(settings)
@@ -65,21 +79,21 @@
 import sys
 sys.path.insert(0, "tests")
 from conftest import PolicyHarness, started_attempts, make_settings
-from edge_router.decision.messages import Due, Outcome, Purged
+from edge_router.decision.messages import Outcome, PurgeReceived, TimerFired
 def play(policies):
     lines = [[] for _ in policies]
     for n in range(500):
         for place, policy in enumerate(policies):
-            acts = policy.request(key=n * n % 61, wait=float(n % 7), size=float(n % 400))
+            acts = policy.request(key=n * n % 61, wait=float(n % 7), size_kb=float(n % 400))
             if n % 3 == 0 and started_attempts(acts):
                 outcome = Outcome.RESET if n % 9 == 0 else Outcome.OK
                 acts += policy.end_attempt(started_attempts(acts)[0], outcome)
             if n % 50 == 0:
-                acts += policy.handle(Purged(5.0, n % 4, 0))
-            acts += policy.handle(Due(max(1, policy.last_request_id - 20)), 3.0)
+                acts += policy.handle(PurgeReceived(5.0, n % 4, 0))
+            acts += policy.handle(TimerFired(max(1, policy.last_request_id - 20)), 3.0)
             lines[place].append(repr(acts))
     return lines
-print(play([PolicyHarness()])[0] == play([PolicyHarness(), PolicyHarness(make_settings(joins=False))])[0])
+print(play([PolicyHarness()])[0] == play([PolicyHarness(), PolicyHarness(make_settings(coalesces_fills=False))])[0])
 print(play([PolicyHarness()])[0])
 """
 
@@ -102,17 +116,17 @@
     """Memory does not grow with former endpoints, and late events are not counted for another one."""
     routing_policy = policy.routing_policy
     for node in range(1000, 1100):
-        fresh = Node(node, 0, 0.0, NodeState.READY, 0, 1, 1.0)
-        policy.handle(Listed(ListKind.DELTA, (fresh,)))
+        fresh = Endpoint(node, 0, 0.0, EndpointState.READY, 0, 1, 1.0)
+        policy.handle(EndpointListUpdate(UpdateKind.DELTA, (fresh,)))
         mine = [
             attempt
             for key in range(40)
             for attempt in started_attempts(policy.request(key=key + 100 * node))
-            if attempt.node == node
+            if attempt.endpoint_id == node
         ]
         assert mine
         policy.end_attempt(mine[0], Outcome.CONNECT_FAILED)
-        policy.handle(Listed(ListKind.DELTA, (fresh._replace(state=NodeState.GONE),)))
+        policy.handle(EndpointListUpdate(UpdateKind.DELTA, (fresh._replace(state=EndpointState.GONE),)))
         for attempt in mine[1:]:
             policy.end_attempt(attempt, Outcome.RESET)
     policy.update_endpoint(CACHES[0])  # late attempt ends may leave an entry until the next list update
@@ -128,6 +142,6 @@
 
 def test_records_of_old_copies_are_dropped(policy: PolicyHarness) -> None:
     for key in range(2000):
-        policy.end_attempt(started_attempts(policy.request(key=key, size=1.0, wait=20.0))[0])
+        policy.end_attempt(started_attempts(policy.request(key=key, size_kb=1.0, wait=20.0))[0])
     kept = len(policy.routing_policy._copies)
-    assert 0 < kept <= policy.routing_policy._set.warm_up / 20.0 + 1
+    assert 0 < kept <= policy.routing_policy._set.slow_start_duration / 20.0 + 1
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -8,50 +8,52 @@
 from conftest import CACHES, ORIGIN, PolicyHarness, make_endpoints, make_settings, started_attempts
 
 from edge_router.decision.messages import (
-    Ended,
+    AttemptEnded,
+    Endpoint,
+    EndpointListUpdate,
+    EndpointState,
     Fail,
-    Get,
-    Listed,
-    ListKind,
-    Node,
-    NodeState,
-    Note,
+    FillResult,
+    HealthCheckResult,
     Outcome,
-    Probed,
-    Refuse,
+    Reject,
+    StartAttempt,
+    UpdateKind,
 )
 
-READY = NodeState.READY
+READY = EndpointState.READY
 
 
-def request_and_answer_each(policy: PolicyHarness, requests: int) -> list[Get]:
+def request_and_answer_each(policy: PolicyHarness, requests: int) -> list[StartAttempt]:
     """Makes this many requests, each answered at once; every one starts an attempt, is rejected or fails."""
     sent = []
     for key in range(requests):
         actions = policy.request(key=key)
         sent += started_attempts(actions)
-        assert started_attempts(actions) or isinstance(actions[-1], (Refuse, Fail))
+        assert started_attempts(actions) or isinstance(actions[-1], (Reject, Fail))
         for attempt in started_attempts(actions):
-            policy.end_attempt(attempt, note=Note.HIT)
+            policy.end_attempt(attempt, note=FillResult.HIT)
     return sent
 
 
 def test_hundreds_of_endpoints_and_routers() -> None:
-    nodes = [Node(n + 1, 0, 0.0, READY, n, n % 40, 1.0) for n in range(400)]
-    nodes += [Node(1000 + n, 1, 0.0, READY, 0, 0, 1.0) for n in range(100)]
-    settings = make_settings(fleet=600, zone_directors=(0, *[15] * 40), zone_link=(0.0, *[9000.0] * 40))
+    nodes = [Endpoint(n + 1, 0, 0.0, READY, n, n % 40, 1.0) for n in range(400)]
+    nodes += [Endpoint(1000 + n, 1, 0.0, READY, 0, 0, 1.0) for n in range(100)]
+    settings = make_settings(
+        fleet_size=600, routers_by_zone=(0, *[15] * 40), zone_link_bandwidth=(0.0, *[9000.0] * 40)
+    )
     sent = request_and_answer_each(
-        PolicyHarness(settings, [*nodes, Node(ORIGIN + 5000, 2, 0.0, READY, 0, 0, 1.0)]), 300
+        PolicyHarness(settings, [*nodes, Endpoint(ORIGIN + 5000, 2, 0.0, READY, 0, 0, 1.0)]), 300
     )
-    assert len({attempt.source for attempt in sent}) > 50
-    assert {attempt.node % 40 for attempt in sent} == {2}
+    assert len({attempt.source_id for attempt in sent}) > 50
+    assert {attempt.endpoint_id % 40 for attempt in sent} == {2}
 
 
 @pytest.mark.parametrize(
     "changes",
     [
-        {"fleet": 10**9, "zone_directors": (0, 10**9, 0)},
-        {"zone_directors": (0, 0, 0), "fleet": 0},
+        {"fleet_size": 10**9, "routers_by_zone": (0, 10**9, 0)},
+        {"routers_by_zone": (0, 0, 0), "fleet_size": 0},
         {"zone": 77},
         {"zone": -1},
     ],
@@ -65,37 +67,49 @@
 
 def test_zone_with_one_cache() -> None:
     sent = request_and_answer_each(
-        PolicyHarness(nodes=[n for n in make_endpoints() if n.node not in CACHES[1:]]), 40
+        PolicyHarness(nodes=[n for n in make_endpoints() if n.endpoint_id not in CACHES[1:]]), 40
     )
-    assert {attempt.node for attempt in sent} == {CACHES[0]}
+    assert {attempt.endpoint_id for attempt in sent} == {CACHES[0]}
 
 
 def test_all_caches_replaced_while_hundreds_of_requests_are_in_flight() -> None:
     policy = PolicyHarness(
-        make_settings(most_attempts=6), [n._replace(weight=500.0) for n in make_endpoints()]
+        make_settings(max_attempts=6), [n._replace(weight=500.0) for n in make_endpoints()]
+    )
+    held = [started_attempts(policy.request(key=n, size_kb=1.0))[0] for n in range(300)]
+    fresh = [Endpoint(100 + n, 0, policy.now, READY, 0, 1, 1.0) for n in range(4)]
+    policy.handle(
+        EndpointListUpdate(
+            UpdateKind.FULL, (*fresh, *[n for n in policy.endpoints if n.endpoint_id not in CACHES])
+        )
     )
-    held = [started_attempts(policy.request(key=n, size=1.0))[0] for n in range(300)]
-    fresh = [Node(100 + n, 0, policy.now, READY, 0, 1, 1.0) for n in range(4)]
-    policy.handle(Listed(ListKind.FULL, (*fresh, *[n for n in policy.endpoints if n.node not in CACHES])))
     for attempt in held:
-        actions = policy.handle(Ended(attempt.req, 0, attempt.node, Outcome.RESET, 5.0, False, 0, 0.0, ()))
-        assert all(again.node >= 100 for again in started_attempts(actions))
-        assert started_attempts(actions) or isinstance(actions[-1], Refuse)
+        actions = policy.handle(
+            AttemptEnded(
+                attempt.request_number, 0, attempt.endpoint_id, Outcome.RESET, 5.0, False, 0, 0.0, ()
+            )
+        )
+        assert all(again.endpoint_id >= 100 for again in started_attempts(actions))
+        assert started_attempts(actions) or isinstance(actions[-1], Reject)
 
 
 def test_weights_that_change_with_every_list_update() -> None:
-    policy = PolicyHarness(make_settings(weighted=True))
+    policy = PolicyHarness(make_settings(endpoints_weighted=True))
     for turn, weight in enumerate((0.0, 1e-9, 4.0, 1e9, -3.0) * 4):
         policy.update_endpoint(CACHES[turn % 4], weight=weight)
         for attempt in started_attempts(policy.request(key=turn)):
-            policy.end_attempt(attempt, note=Note.HIT)
+            policy.end_attempt(attempt, note=FillResult.HIT)
 
 
 @pytest.mark.parametrize("load", [(), (0.0,), (math.nan, math.inf, -1.0, 1e30, 7.0)])
 def test_load_reports_of_any_form_do_not_mislead(load: tuple[float, ...]) -> None:
-    policy = PolicyHarness(make_settings(report_fields=("busy_reqs", "x1")))
+    policy = PolicyHarness(make_settings(load_report_fields=("busy_reqs", "x1")))
     home = started_attempts(policy.request(key=1))[0]
-    policy.handle(Ended(home.req, 0, home.node, Outcome.OK, 1.0, True, Note.HIT, 0.0, load))
-    for node in (home.node, 999):
-        assert policy.handle(Probed(node, True, 1.0, load)) == []
-    assert started_attempts(policy.request(key=1))[0].node == home.node
+    policy.handle(
+        AttemptEnded(
+            home.request_number, 0, home.endpoint_id, Outcome.OK, 1.0, True, FillResult.HIT, 0.0, load
+        )
+    )
+    for node in (home.endpoint_id, 999):
+        assert policy.handle(HealthCheckResult(node, True, 1.0, load)) == []
+    assert started_attempts(policy.request(key=1))[0].endpoint_id == home.endpoint_id
--- a/tests/test_statistics.py
+++ b/tests/test_statistics.py
@@ -16,12 +16,12 @@
 
 def test_statistics_line_counts_rejections_by_reason() -> None:
     lines: list[tuple[str, dict[str, object]]] = []
-    clock, responses = Clock(lambda: 1000.0, lambda: 1000.0), list[exchange.Answer]()
+    clock, responses = Clock(lambda: 1000.0, lambda: 1000.0), list[exchange.FinalResponse]()
     budget = Budget()
     budget.most = 1e9
     route = Route(settings_from(SETTINGS), 7, clock, Timers(clock, lambda: 0.0), budget, 0.0, fail_on_connect)
     route.asked(
-        exchange.Asked(
+        exchange.IncomingRequest(
             "9b1f03aa5c7e2d41",
             "image",
             "7f3a9c21e0b4d655",
@@ -43,7 +43,7 @@
         route.book.line(**route.figures())
     finally:
         divert(None)
-    assert [response.verdict for response in responses] == [exchange.Verdict.REFUSED]
+    assert [response.status for response in responses] == [exchange.ResponseStatus.REJECTED]
     assert [(event, fields["refused_no_cache"]) for event, fields in lines] == [("stats", 1)]
 
 
