--- a/edge_router/config/platform_file.py
+++ b/edge_router/config/platform_file.py
@@ -10,9 +10,9 @@
 
 import ujson
 
-from edge_router.config.settings_reader import settings_from
+from edge_router.config.settings_reader import settings_from_json
 from edge_router.decision.settings import Settings
-from edge_router.discovery.change_log import ChangeLogError, known_events
+from edge_router.discovery.change_log import ChangeLogError, initial_events
 from edge_router.discovery.events import DiscoveryEvent
 
 LEAST_SOCKETS = 16
@@ -32,19 +32,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Config:
+class RouterConfig:
     """The configuration, typed."""
 
     name: str
-    listen: tuple[str, int]
+    listen_address: tuple[str, int]
     seed: int
-    sockets: int
+    max_sockets: int
     memory_mb: float
-    cores: float
-    pace: float  # bytes a second of one transfer; 0 if not told
-    changelog: tuple[str, int]
-    last: int  # number of the last event in `known`
-    known: tuple[DiscoveryEvent, ...]
+    cpu_cores: float
+    transfer_bandwidth: float  # bytes a second of one transfer; 0 if not told
+    change_log_address: tuple[str, int]
+    last_sequence: int  # number of the last event in `known`
+    initial_events: tuple[DiscoveryEvent, ...]
     settings: Settings
 
     def identity(self) -> dict[str, object]:
@@ -52,7 +52,7 @@
         settings = self.settings
         return {
             "name": self.name,
-            "listen": self.listen,
+            "listen": self.listen_address,
             "zone": settings.zone,
             "areas": settings.zone_names,
             "models": settings.role_names,
@@ -67,36 +67,37 @@
     return host, int(port)
 
 
-def config_from(table: dict[str, Any], env: Mapping[str, str]) -> Config:
+def config_from(table: dict[str, Any], env: Mapping[str, str]) -> RouterConfig:
     """The typed configuration; the environment names the listening address if the table does not."""
     try:
-        settings = settings_from(table["settings"])
+        settings = settings_from_json(table["settings"])
         limits, known = table.get("limits", {}), table.get("known", {})
-        config = Config(
+        config = RouterConfig(
             name=str(table.get("name") or env.get("RELAY_NAME", "?")),
-            listen=_address(table.get("listen") or env.get("RELAY_LISTEN", "")),
+            listen_address=_address(table.get("listen") or env.get("RELAY_LISTEN", "")),
             seed=int(str(table.get("seed", "0")), 16),
-            sockets=int(limits.get("sockets", 1024)),
+            max_sockets=int(limits.get("sockets", 1024)),
             memory_mb=float(limits.get("memory_mb", 192)),
-            cores=float(limits.get("cores", 1.0)),
-            pace=float(table.get("flow_bytes_per_s", 0.0)),
-            changelog=_address(table["changelog"]),
-            last=int(known.get("seq", 0)),
-            known=tuple(known_events(known, settings)),
+            cpu_cores=float(limits.get("cores", 1.0)),
+            transfer_bandwidth=float(table.get("flow_bytes_per_s", 0.0)),
+            change_log_address=_address(table["changelog"]),
+            last_sequence=int(known.get("seq", 0)),
+            initial_events=tuple(initial_events(known, settings)),
             settings=settings,
         )
     except KeyError as error:
         raise ConfigError(f"the configuration lacks {error}") from error
     except (TypeError, ValueError, AttributeError, ArithmeticError, ChangeLogError) as error:
         raise ConfigError(f"the configuration can't be used: {error}") from error
-    if config.sockets < LEAST_SOCKETS or not (config.memory_mb > 0 and config.cores > 0):
+    if config.max_sockets < LEAST_SOCKETS or not (config.memory_mb > 0 and config.cpu_cores > 0):
         raise ConfigError(
-            f"no room to run in {config.sockets} sockets, {config.memory_mb:g} MB and {config.cores:g} cores"
+            f"no room to run in {config.max_sockets} sockets, {config.memory_mb:g} MB "
+            f"and {config.cpu_cores:g} cores"
         )
     return config
 
 
-def read_config(env: Mapping[str, str] = os.environ) -> Config:
+def read_config(env: Mapping[str, str] = os.environ) -> RouterConfig:
     """Reads the file that RELAY_CONFIG names."""
     path = env.get("RELAY_CONFIG")
     if not path:
--- a/edge_router/config/reload.py
+++ b/edge_router/config/reload.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from edge_router.config.platform_file import Config, ConfigError, ConfigUnreadableError, read_config
+from edge_router.config.platform_file import ConfigError, ConfigUnreadableError, RouterConfig, read_config
 from edge_router.runtime.event_log import log
 
 FIRST_PAUSE, LONGEST_PAUSE = 0.05, 1.0  # seconds between two tries; each pause is twice the one before
@@ -16,7 +16,7 @@
 class Reloader:
     """Waits for requests to reload and hands each usable configuration on."""
 
-    def __init__(self, apply: Callable[[Config], None]) -> None:
+    def __init__(self, apply: Callable[[RouterConfig], None]) -> None:
         """`apply` takes a configuration over, or refuses it with a line of the log."""
         self._apply = apply
         self._requested = trio.Event()
--- a/edge_router/config/settings_reader.py
+++ b/edge_router/config/settings_reader.py
@@ -54,10 +54,10 @@
 
 def read_settings(text: str | bytes) -> i.Settings:
     """Typed settings from the JSON of the simulator's first message."""
-    return settings_from(ujson.loads(text))
+    return settings_from_json(ujson.loads(text))
 
 
-def settings_from(table: dict[str, Any]) -> i.Settings:
+def settings_from_json(table: dict[str, Any]) -> i.Settings:
     """Typed settings from decoded JSON; unknown keys are skipped."""
     domain, rules, limits = (table.get(part, {}) for part in ("domain", "rules", "limits"))
     return i.Settings(
--- a/edge_router/decision/policy.py
+++ b/edge_router/decision/policy.py
@@ -384,7 +384,7 @@
 
 
 @dataclass(slots=True)
-class Attempt:
+class AttemptRecord:
     """One attempt of a request."""
 
     node: EndpointId
@@ -402,7 +402,7 @@
     overdue: bool = False
 
 
-class Held:
+class PendingRequest:
     """The one record of a request that has no final answer yet."""
 
     def __init__(self, now: float, request: RequestReceived, cls: ClassSettings, work: float) -> None:
@@ -411,14 +411,14 @@
         self.work = work
         self.deadline = now + request.time_remaining
         self.aim = min(cls.latency_objective + cls.latency_objective_per_work * work, cls.deadline)
-        self.attempts: list[Attempt] = []
+        self.attempts: list[AttemptRecord] = []
         self.missed = False
         self.spares = False  # the origin is not asked for it
         self.why = "no_cache"  # why no attempt could be sent, for the operators
         self.tried: set[EndpointId] = set()
         self.bad_sources: set[EndpointId] = set()
 
-    def first_run(self) -> Attempt | None:
+    def first_run(self) -> AttemptRecord | None:
         """The first attempt that may have run."""
         return next((attempt for attempt in self.attempts if attempt.may_have_run), None)
 
@@ -431,7 +431,7 @@
         return sum(attempt.pending for attempt in self.attempts)
 
 
-class Director:
+class RoutingPolicy:
     """Decides for one director. handle() takes one event and returns the actions it leads to."""
 
     def __init__(self, settings: Settings, entropy: int) -> None:
@@ -468,7 +468,7 @@
             settings.overload_window,
         )
         self._purges = Purges(settings.purge_settle_time * PURGE_MARGIN + settings.purge_notice_time)
-        self._held: dict[int, Held] = {}
+        self._held: dict[int, PendingRequest] = {}
         self._loads: dict[EndpointId, Load] = {}
         self._wait = 0.0  # how long fills lately waited for their first byte; a failed one, its wanted time
         self._origin = Load.of(1.0, 1.0, self._shortest)  # fetches asked of it against those it answered
@@ -493,7 +493,7 @@
             handler(now, event)
         return self._out
 
-    def figures(self, now: float) -> dict[str, float]:
+    def statistics(self, now: float) -> dict[str, float]:
         """For the operators: what the decisions rest on now."""
         return {
             "link_out": float(self._link.out),
@@ -560,7 +560,7 @@
         mean = self._mean_work[event.class_index]
         mean[0] += 1
         mean[1] += (work - mean[1]) / min(mean[0], 1000.0)
-        held = Held(now, event, cls, work)
+        held = PendingRequest(now, event, cls, work)
         self._hedges = min(HEDGE_BURST, self._hedges + HEDGE_SHARE)
         if not cls.uncacheable:
             self._popularity.note(now, event.object_key, event.size_kb, event.segment)
@@ -568,7 +568,7 @@
         if not self._try(now, held):
             self._give_up(held)
 
-    def _try(self, now: float, held: Held, look: bool = False) -> bool:
+    def _try(self, now: float, held: PendingRequest, look: bool = False) -> bool:
         """Sends the request to the first cache and source that will do; False if there is none.
 
         Danger: the location's link in is crowded; then a cache is only asked, once, for what it holds.
@@ -587,7 +587,7 @@
                     return True
         return False
 
-    def _cache_choices(self, now: float, held: Held) -> Iterator[EndpointId]:
+    def _cache_choices(self, now: float, held: PendingRequest) -> Iterator[EndpointId]:
         """The home, spread for a hot object, then the rest in hash order; doubtful caches come last."""
         key, caches = part_key(held.request), self._caches
         order = caches.order(key)
@@ -608,18 +608,18 @@
         if not good:
             yield from sorted(order, key=lambda node: node in held.tried)
 
-    def _crowded(self, now: float, held: Held, node: EndpointId) -> bool:
+    def _crowded(self, now: float, held: PendingRequest, node: EndpointId) -> bool:
         """Whether the answer would come too late even from a copy."""
         return held.work * self._load(node).pace(now) > self._crowded_at * held.aim
 
-    def _link_crowded(self, now: float, held: Held) -> bool:
+    def _link_crowded(self, now: float, held: PendingRequest) -> bool:
         """Whether the answer would come too late if it had to be filled."""
         late = self._wait + held.work * self._link.pace(now) > self._crowded_at * held.aim
         if late:
             self._wait *= 1 - LEARN  # each request held off lets the next ones try a little sooner
         return late
 
-    def _has_copy(self, now: float, held: Held, node: EndpointId) -> bool:
+    def _has_copy(self, now: float, held: PendingRequest, node: EndpointId) -> bool:
         """Whether the cache probably holds the object, as this director had it kept there lately."""
         request = held.request
         since = self._copies.get((request.object_key, request.segment, node), -math.inf)
@@ -642,7 +642,7 @@
         present = cold.present(now, ring.nodes[node].started_at)
         return present >= 1.0 or unit(~key & _MASK, node) < present
 
-    def _source_choices(self, now: float, held: Held, node: EndpointId) -> Iterator[EndpointId]:
+    def _source_choices(self, now: float, held: PendingRequest, node: EndpointId) -> Iterator[EndpointId]:
         """The home parent and the next ones in hash order, the origin last."""
         key, parents = held.request.object_key, self._parents
         order = () if held.cls.uncacheable else parents.order(key)
@@ -658,7 +658,7 @@
 
     # -- the one way out --
 
-    def _leave(self, now: float, held: Held, node: EndpointId, source: EndpointId) -> bool:
+    def _leave(self, now: float, held: PendingRequest, node: EndpointId, source: EndpointId) -> bool:
         """Every attempt leaves here, where the five rules are kept; False if they forbid this one."""
         request, settings = held.request, self._set
         cache = self._caches.nodes.get(node)
@@ -684,7 +684,9 @@
         expected = held.work * self._load(node).pace(now) + (self._wait if fills else 0.0)
         due = now + max(OVERDUE * held.aim, LATE * expected)
         begin_by = held.begin_by()
-        self._begin(held, Attempt(node, source, now, due, fills, entry, self._load(node), self._load(source)))
+        self._begin(
+            held, AttemptRecord(node, source, now, due, fills, entry, self._load(node), self._load(source))
+        )
         keep = 0 if held.cls.uncacheable else self._popularity.rank(request.object_key)
         age, how = self._copy_wanted(now, held)
         self._out.append(
@@ -701,7 +703,7 @@
             load = self._loads[node] = Load.of(size, share, self._shortest)
         return load
 
-    def _may_repeat(self, now: float, held: Held, cache: Endpoint) -> bool:
+    def _may_repeat(self, now: float, held: PendingRequest, cache: Endpoint) -> bool:
         """Danger: an effect that happens twice."""
         if held.pending() and not self._set.hedging_allowed:
             return False
@@ -709,7 +711,7 @@
         node, sent = (first.node, first.sent) if first else (None, None)
         return rules.may_repeat(held.cls, now, node, sent, cache, self._listed)
 
-    def _copy_wanted(self, now: float, held: Held) -> tuple[float, int]:
+    def _copy_wanted(self, now: float, held: PendingRequest) -> tuple[float, int]:
         """The oldest copy that will do, and how to fill. A repeat, or one to spare the origin, takes old."""
         cls, request = held.cls, held.request
         limit = self._purges.limit(now, request.object_key, request.purge_group)
@@ -768,7 +770,7 @@
             return
         self._give_up(held)
 
-    def _begin(self, held: Held, attempt: Attempt) -> None:
+    def _begin(self, held: PendingRequest, attempt: AttemptRecord) -> None:
         """Books an attempt on the cache's link and, if a miss is likely, on the location's."""
         attempt.load.out += 1
         attempt.load.work += held.work
@@ -779,7 +781,7 @@
         held.attempts.append(attempt)
         held.tried.add(attempt.node)
 
-    def _ended(self, held: Held, attempt: Attempt) -> None:
+    def _ended(self, held: PendingRequest, attempt: AttemptRecord) -> None:
         attempt.pending = False
         if attempt.fills:
             self._link.out -= 1
@@ -794,7 +796,7 @@
         self._hedges -= 1.0
         return True
 
-    def _judge(self, now: float, held: Held, attempt: Attempt, event: AttemptEnded) -> None:
+    def _judge(self, now: float, held: PendingRequest, attempt: AttemptRecord, event: AttemptEnded) -> None:
         """Tells cache, source and origin apart by the outcome and its note."""
         note, outcome = event.fill_result, event.outcome
         if note in (FillResult.FILLED_BY_ORIGIN, FillResult.ORIGIN_FAILED):
@@ -890,7 +892,7 @@
         if held := self._held.get(event.request_number):
             self._close(held)
 
-    def _close(self, held: Held) -> None:
+    def _close(self, held: PendingRequest) -> None:
         """The request has its final answer; what is still out is called off."""
         del self._held[held.request.request_number]
         for number, attempt in enumerate(held.attempts):
@@ -899,7 +901,7 @@
                 if self._set.cancellation_allowed:
                     self._out.append(CancelAttempt(held.request.request_number, number))
 
-    def _give_up(self, held: Held) -> None:
+    def _give_up(self, held: PendingRequest) -> None:
         """The final answer of this director: refused where a retry is surely harmless, else failed."""
         may_have_run = any(attempt.may_have_run for attempt in held.attempts)
         if rules.may_refuse(held.cls, may_have_run):  # danger: refused clients that all come back together
--- a/edge_router/decision/rules.py
+++ b/edge_router/decision/rules.py
@@ -18,7 +18,7 @@
 PROVES_NOT_RUN = frozenset((Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.MISS))
 
 
-class Denial(StrEnum):
+class SendDenial(StrEnum):
     """Why an attempt may not be sent."""
 
     ANSWERED = "answered"  # its request has its final answer, or its client has left
@@ -29,7 +29,7 @@
     SOURCE_NOT_READY = "source-not-ready"
 
 
-def denial(
+def send_denial(
     now: float,
     *,
     answered: bool,
@@ -38,24 +38,24 @@
     begin_by: float,
     node_ready: bool,
     source_ready: bool,
-) -> Denial | None:
+) -> SendDenial | None:
     """Why an attempt whose first byte is about to be written may not be sent; None if it may.
 
     `answered`: its request has its final answer, or its client has left; `purged`: a purge came after the
     order; `cut_at`, `begin_by`: the moments by which it is over and by which it has to begin.
     """
     if answered:
-        return Denial.ANSWERED
+        return SendDenial.ANSWERED
     if purged:
-        return Denial.PURGED
+        return SendDenial.PURGED
     if now >= cut_at:
-        return Denial.TIME_OVER
+        return SendDenial.TIME_OVER
     if now >= begin_by:
-        return Denial.WINDOW_OVER
+        return SendDenial.WINDOW_OVER
     if not node_ready:
-        return Denial.NODE_NOT_READY
+        return SendDenial.NODE_NOT_READY
     if not source_ready:
-        return Denial.SOURCE_NOT_READY
+        return SendDenial.SOURCE_NOT_READY
     return None
 
 
--- a/edge_router/discovery/change_log.py
+++ b/edge_router/discovery/change_log.py
@@ -16,7 +16,7 @@
     EndpointsChanged,
     ObjectPurged,
 )
-from edge_router.protocol.buffer import Buffer
+from edge_router.protocol.buffer import ReceiveBuffer
 
 MOST_FRAME = 1 << 20  # bytes of the longest frame: a list of many thousand nodes
 
@@ -39,23 +39,23 @@
 class Frame(NamedTuple):
     """One frame that came in whole."""
 
-    number: int
+    sequence: int
     kind: int
     payload: bytes
 
 
-def frames(buffer: Buffer) -> Iterator[Frame]:
+def frames(buffer: ReceiveBuffer) -> Iterator[Frame]:
     """All frames that are whole; raises ChangeLogError on a length that none can have."""
     while len(buffer) >= _LENGTH.size:
-        (length,) = buffer.unpack(_LENGTH)
+        (length,) = buffer.peek_struct(_LENGTH)
         if not _HEAD.size <= length <= MOST_FRAME:
             raise ChangeLogError(f"a frame of {length} bytes")
         if len(buffer) < _LENGTH.size + length:
             return
         buffer.skip(_LENGTH.size)
-        number, kind = buffer.unpack(_HEAD)
+        number, kind = buffer.peek_struct(_HEAD)
         buffer.skip(_HEAD.size)
-        yield Frame(number, kind, buffer.take(length - _HEAD.size))
+        yield Frame(number, kind, buffer.read(length - _HEAD.size))
 
 
 def _members(payload: bytes) -> tuple[EndpointAddress, ...]:
@@ -90,33 +90,37 @@
             group, time = _GROUP.unpack(frame.payload)
             return ObjectPurged(float(time), group, 0)
     except struct.error as error:
-        raise ChangeLogError(f"event {frame.number} of kind {frame.kind}: {error}") from error
+        raise ChangeLogError(f"event {frame.sequence} of kind {frame.kind}: {error}") from error
     return None
 
 
-class Follower:
+class ChangeLogDecoder:
     """Takes events in once each and in order, over as many connections as it needs."""
 
     def __init__(self, last: int) -> None:
-        self.last = last  # number of the last event that was taken in
-        self._jumped = 0  # number of the event that last came too early
-        self._from_start = False  # all events are asked for, as some were missing for good
+        self.last_sequence = last  # number of the last event that was taken in
+        self._sequence_after_gap = 0  # number of the event that last came too early
+        self._replaying_all = False  # all events are asked for, as some were missing for good
 
     def hello(self) -> bytes:
         """The first bytes on a connection: later events than the last are wanted."""
-        return _HELLO.pack(self.last)
+        return _HELLO.pack(self.last_sequence)
 
-    def take(self, frame: Frame, sink: DiscoveryListener) -> bool:
+    def process(self, frame: Frame, sink: DiscoveryListener) -> bool:
         """Tells the sink of an event that is new; False if some before it are missing: ask for them anew."""
         if frame.kind == NOTHING:
             return True
-        if frame.number <= self.last:
+        if frame.sequence <= self.last_sequence:
             return True
-        if frame.number > self.last + 1 and frame.kind != WHOLE and not self._accept_gap(frame.number):
+        if (
+            frame.sequence > self.last_sequence + 1
+            and frame.kind != WHOLE
+            and not self._accept_gap(frame.sequence)
+        ):
             return False
-        self._from_start = False
+        self._replaying_all = False
         event = _event(frame)
-        self.last = frame.number
+        self.last_sequence = frame.sequence
         if event is not None:
             sink.on_discovery_event(event)
         return True
@@ -128,11 +132,11 @@
         missing, all events are asked for, and with them the whole list: what the gap held, as a drain or a
         purge, must not stay unknown. A log that has not even those is followed from where it begins.
         """
-        if self._from_start:
+        if self._replaying_all:
             return True
-        again, self._jumped = number == self._jumped, number
+        again, self._sequence_after_gap = number == self._sequence_after_gap, number
         if again:
-            self.last, self._from_start = 0, True
+            self.last_sequence, self._replaying_all = 0, True
         return False
 
 
@@ -142,7 +146,7 @@
     return names.index(name)
 
 
-def member_from(entry: dict[str, Any], settings: Settings) -> EndpointAddress:
+def endpoint_from_json(entry: dict[str, Any], settings: Settings) -> EndpointAddress:
     """One node of the JSON."""
     ident, (host, _, port) = str(entry["instanceId"]), str(entry["hostPort"]).rpartition(":")
     if not ident.startswith("s-"):
@@ -159,12 +163,12 @@
     return EndpointAddress(node, host, int(port))
 
 
-def known_events(known: dict[str, Any], settings: Settings) -> Iterator[DiscoveryEvent]:
+def initial_events(known: dict[str, Any], settings: Settings) -> Iterator[DiscoveryEvent]:
     """The events that the configuration holds; raises ChangeLogError if they can't be read."""
     try:
         for event in known.get("results", []):
             if fleet := event.get("fleet"):
-                members = tuple(member_from(entry, settings) for entry in fleet["instances"])
+                members = tuple(endpoint_from_json(entry, settings) for entry in fleet["instances"])
                 yield EndpointsChanged(bool(fleet.get("reset", False)), members)
             elif purge := event.get("invalidate"):
                 key = int(str(purge["object"]), 16) if "object" in purge else 0
--- a/edge_router/discovery/change_log_watcher.py
+++ b/edge_router/discovery/change_log_watcher.py
@@ -6,9 +6,9 @@
 
 import trio
 
-from edge_router.discovery.change_log import MOST_FRAME, ChangeLogError, Follower, frames
+from edge_router.discovery.change_log import MOST_FRAME, ChangeLogDecoder, ChangeLogError, frames
 from edge_router.discovery.events import DiscoveryListener
-from edge_router.protocol.buffer import Buffer, BufferFullError
+from edge_router.protocol.buffer import BufferFullError, ReceiveBuffer
 from edge_router.runtime.event_log import log
 
 # What the log tells counts as told 2 s after a break and 4 s after it stops: all waits must fit into that.
@@ -26,16 +26,16 @@
         data = data[await sock.send(data) :]
 
 
-class ChangeLog:
+class ChangeLogWatcher:
     """Follows the change log for good: resumes after the last number, however often it breaks."""
 
     def __init__(self, host: str, port: int, last: int, seed: int) -> None:
         self._address = (host, port)
         self._random = random.Random(seed)
-        self._follower = Follower(last)
+        self._decoder = ChangeLogDecoder(last)
         self._scope = trio.CancelScope()
 
-    def move(self, host: str, port: int) -> None:
+    def set_address(self, host: str, port: int) -> None:
         """Follows the log at another address from now on, after the same last number.
 
         The connection to the old one is given up at once: it may stay open and tell nothing more.
@@ -49,13 +49,13 @@
         while True:
             with trio.CancelScope() as self._scope:
                 await self._keep(sink)
-            log("changelog-moved", to=":".join(map(str, self._address)), last=self._follower.last)
+            log("changelog-moved", to=":".join(map(str, self._address)), last=self._decoder.last_sequence)
 
     async def _keep(self, sink: DiscoveryListener) -> None:
         """Connects again and again, with a short back-off."""
         wait, patience = BACK_OFF[0], CONNECT_WAIT[0]
         while True:
-            before = self._follower.last
+            before = self._decoder.last_sequence
             why = "closed"
             try:
                 why = await self._follow(sink, patience)
@@ -64,8 +64,8 @@
             except Exception as error:  # guards against one event that can't be worked off ending the process
                 log("bug", where="change log", error=repr(error))
                 why = "an event can't be worked off"
-            log("changelog-lost", last=self._follower.last, why=why)
-            wait = BACK_OFF[0] if self._follower.last != before else min(2 * wait, BACK_OFF[1])
+            log("changelog-lost", last=self._decoder.last_sequence, why=why)
+            wait = BACK_OFF[0] if self._decoder.last_sequence != before else min(2 * wait, BACK_OFF[1])
             patience = min(2 * patience, CONNECT_WAIT[1]) if why == NOT_UP else CONNECT_WAIT[0]
             await trio.sleep(wait * self._random.uniform(1.0 - JITTER, 1.0))
 
@@ -74,10 +74,10 @@
         with trio.socket.socket() as sock:
             with trio.move_on_after(patience) as waiting:
                 await sock.connect(self._address)
-                await _send_all(sock, self._follower.hello())
+                await _send_all(sock, self._decoder.hello())
             if waiting.cancelled_caught:
                 return NOT_UP
-            log("changelog-up", last=self._follower.last)
+            log("changelog-up", last=self._decoder.last_sequence)
             return await self._take_frames(sock, sink)
 
     async def _take_frames(self, sock: trio.socket.SocketType, sink: DiscoveryListener) -> str:
@@ -86,19 +86,19 @@
         Guards against a log that was cut off or stops in the middle of a frame: the connection stays open,
         and bytes may still trickle in. A whole frame counts as progress, or a good part of a long one.
         """
-        buffer, progress = Buffer(MOST_FRAME + 4096), 0
+        buffer, progress = ReceiveBuffer(MOST_FRAME + 4096), 0
         with trio.move_on_after(QUIET) as quiet:
             while True:
-                with buffer.room(4096) as view:
+                with buffer.writable_view(4096) as view:
                     count = await sock.recv_into(view)
                 if not count:
                     return "closed by the log"
-                buffer.filled(count)
+                buffer.commit(count)
                 progress += count
                 for frame in frames(buffer):
                     progress = LEAST_PROGRESS
-                    if not self._follower.take(frame, sink):
-                        return f"a gap before {frame.number}"
+                    if not self._decoder.process(frame, sink):
+                        return f"a gap before {frame.sequence}"
                 if progress >= LEAST_PROGRESS:
                     progress = 0
                     quiet.deadline = trio.current_time() + QUIET
--- a/edge_router/fault_injection/depot.py
+++ b/edge_router/fault_injection/depot.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterator
 
 from edge_router.protocol import resp
-from edge_router.protocol.buffer import Buffer
+from edge_router.protocol.buffer import ReceiveBuffer
 
 _HEAD = struct.Struct(">IQB")
 _RECORD = struct.Struct(">IIHBBBHIQ")
@@ -64,9 +64,9 @@
         self.port = self._listener.port
 
     def _commands(self, sock: socket.socket) -> Iterator[list[bytes]]:
-        buffer, decoder = Buffer(1 << 20), resp.Decoder()
+        buffer, decoder = ReceiveBuffer(1 << 20), resp.Decoder()
         while data := sock.recv(65_536):
-            buffer.feed(data)
+            buffer.append(data)
             yield from decoder.arrays(buffer)
 
     def _serve(self, sock: socket.socket) -> None:
--- a/edge_router/model_checker/channels.py
+++ b/edge_router/model_checker/channels.py
@@ -10,7 +10,7 @@
 
 from edge_router.model_checker.machine import Violation
 from edge_router.protocol.resp import RespError, encode
-from edge_router.transport.upstream_channel import Channel
+from edge_router.transport.upstream_channel import UpstreamChannel
 
 WITHDRAWN = "-no"  # the command that is not written
 COMMANDS = ("aaa", "bbb", WITHDRAWN)
@@ -54,7 +54,7 @@
         self.begun = 0
         self.state = "waiting"
 
-    def begin(self) -> bytes | None:
+    def encode(self) -> bytes | None:
         """Its bytes; None if it withdraws."""
         if self.machine.ends:
             self.machine.violated("told-once", f"{self.text} begins on a connection that is over")
@@ -62,7 +62,7 @@
         self.state = "dropped" if self.text == WITHDRAWN else "begun"
         return None if self.text == WITHDRAWN else self.text.encode()
 
-    def unwritten(self) -> None:
+    def on_not_written(self) -> None:
         """The channel reports that none of it was written."""
         if self.text.encode() in self.machine.sock.taken:
             self.machine.violated("order-kept", f"{self.text} was written, and is reported as unwritten")
@@ -77,7 +77,7 @@
         self.sock = LimitedSocket()
         self.ends: list[str] = []
         self.arrivals = 0
-        self.channel = Channel(self, self._clock)
+        self.channel = UpstreamChannel(self, self._clock)
         self.commands: list[RecordedCommand] = []
         self.half = False
         self.finished = False
@@ -90,11 +90,11 @@
         """Records a violation."""
         self.violations.append(Violation(prop, why))
 
-    def arrived(self, connection: Channel, array: list[bytes]) -> None:
+    def on_message(self, connection: UpstreamChannel, array: list[bytes]) -> None:
         """The channel has decoded an array."""
         self.arrivals += 1
 
-    def closed(self, connection: Channel, why: str) -> None:
+    def on_channel_closed(self, connection: UpstreamChannel, why: str) -> None:
         """The channel reports its end."""
         self.ends.append(why)
         if len(self.ends) > 1:
@@ -107,9 +107,9 @@
         steps = [f"room {count}" for count in (0, 1, 99) if count != self.sock.room]
         if len(self.commands) < len(COMMANDS):
             steps.append("put")
-        steps.append("close" if not self.channel.over else "ended")
-        if not self.channel.up:
-            return [*steps, "up", "refused", "reset-at-connect"] if not self.channel.over else steps
+        steps.append("close" if not self.channel.closed else "ended")
+        if not self.channel.connected:
+            return [*steps, "up", "refused", "reset-at-connect"] if not self.channel.closed else steps
         if not self.sock.dead:
             steps.append("die")
         if not self.sock.ended and not self.sock.dead:
@@ -118,9 +118,9 @@
                 steps.append("rest")
             elif self.arrivals < 2:
                 steps += ["answer", "half"]
-        if (self.sock.ended or self.sock.dead) and not self.channel.over:
+        if (self.sock.ended or self.sock.dead) and not self.channel.closed:
             steps.append("ended")
-        if self.channel._full and (self.sock.room or self.sock.dead) and not self.channel.over:
+        if self.channel._full and (self.sock.room or self.sock.dead) and not self.channel.closed:
             steps.append("writable")
         return steps
 
@@ -131,12 +131,14 @@
         if word == "put":
             command = RecordedCommand(self, COMMANDS[len(self.commands)])
             self.commands.append(command)
-            self.channel.put(command)
+            self.channel.send(command)
         elif word == "up":
-            self.channel.opened(self.sock)
+            self.channel.on_connected(self.sock)
         elif word in ("refused", "reset-at-connect"):
-            self.channel.failed(ConnectionRefusedError() if word == "refused" else ConnectionResetError())
-            self.channel.ended()
+            self.channel.on_connect_failed(
+                ConnectionRefusedError() if word == "refused" else ConnectionResetError()
+            )
+            self.channel.on_closed()
         elif word == "room":
             self.sock.room = int(rest)
         elif word == "die":
@@ -146,17 +148,17 @@
         elif word in ("answer", "half", "rest"):
             data = ANSWER[:3] if word == "half" else ANSWER[3:] if word == "rest" else ANSWER
             self.half = word == "half"
-            self.channel.buffer.feed(data)
+            self.channel.buffer.append(data)
             try:
-                self.channel.received()
+                self.channel.on_received()
             except RespError:
                 self.violated("clean-error", "a legal answer can't be read")
         elif word == "writable":
-            self.channel.writable()
+            self.channel.on_writable()
         elif word == "close":
             self.channel.close()
         elif word == "ended":
-            self.channel.ended()
+            self.channel.on_closed()
         self._check()
 
     def _check(self) -> None:
@@ -199,12 +201,12 @@
                 len(self.ends),
                 self.arrivals,
                 self.half,
-                channel.up,
-                channel.over,
+                channel.connected,
+                channel.closed,
                 channel._full,
                 bytes(channel._rest),
                 len(channel._queue),
-                channel.halfway_at,
+                channel.partial_since,
                 len(channel.buffer),
                 tuple((command.state, command.begun) for command in self.commands),
             ),
--- a/edge_router/model_checker/codecs.py
+++ b/edge_router/model_checker/codecs.py
@@ -16,8 +16,8 @@
 from edge_router.model_checker.machine import Violation
 from edge_router.model_checker.results import Found
 from edge_router.protocol import fastcgi, resp
-from edge_router.protocol.buffer import Buffer, BufferFullError
-from edge_router.runtime.memory_budget import Budget
+from edge_router.protocol.buffer import BufferFullError, ReceiveBuffer
+from edge_router.runtime.memory_budget import MemoryBudget
 
 MOST_SPLIT_IN_ALL_WAYS = 12  # bytes
 MOST_SPLIT_EVERYWHERE = 200  # bytes of an illegal stream that is split at each place
@@ -79,10 +79,10 @@
 
 def decode_resp(parts: Iterator[bytes]) -> Outcome:
     """Decodes RESP from these reads."""
-    buffer, decoder, out = Buffer(MOST_UNREAD), resp.Decoder(), []
+    buffer, decoder, out = ReceiveBuffer(MOST_UNREAD), resp.Decoder(), []
     try:
         for part in parts:
-            buffer.feed(part)
+            buffer.append(part)
             for array in decoder.arrays(buffer):
                 out.append(repr(array))
             if len(buffer) > max(resp.MOST_LINE, decoder._bulk + 2) + len(part):
@@ -94,13 +94,13 @@
 
 def decode_fastcgi(parts: Iterator[bytes]) -> Outcome:
     """Decodes FastCGI from these reads; all of the memory budget must be released in the end."""
-    budget = Budget()
-    budget.most = 4e5
-    buffer, decoder, out = Buffer(MOST_UNREAD), fastcgi.Decoder(budget, lambda: 1.0), []
+    budget = MemoryBudget()
+    budget.limit = 4e5
+    buffer, decoder, out = ReceiveBuffer(MOST_UNREAD), fastcgi.Decoder(budget, lambda: 1.0), []
     error = ""
     try:
         for part in parts:
-            buffer.feed(part)
+            buffer.append(part)
             for event in decoder.events(buffer):
                 out.append(repr(event))
             if any(
--- a/edge_router/model_checker/copying.py
+++ b/edge_router/model_checker/copying.py
@@ -17,7 +17,7 @@
 from edge_router.decision.settings import ClassSettings, Settings
 from edge_router.model_checker.machine import Machine
 from edge_router.model_checker.scope import Scope
-from edge_router.proxy.request_parser import Intake
+from edge_router.proxy.request_parser import RequestParser
 
 _shared: list[object] = []
 _places: dict[int, int] = {}
@@ -44,7 +44,7 @@
     Settings: _share,
     ClassSettings: _share,
     Scope: _share,
-    Intake: _share,
+    RequestParser: _share,
     memoryview: lambda view: (memoryview, (bytes(view),)),
     type(functools.lru_cache(1)(len)): lambda cache: (
         _cached,
--- a/edge_router/model_checker/fingerprint/__init__.py
+++ b/edge_router/model_checker/fingerprint/__init__.py
@@ -55,7 +55,7 @@
         encode_proxy(harness.route, harness.budget, frame),
         tuple(sorted(servers, key=lambda server: server[0])),
         encode_timers(harness.timers, harness.t, frame),
-        encode_director(harness.route._director, frame),
+        encode_director(harness.route._policy, frame),
         encode_surroundings(state, frame),
         encode_observer(harness.observer, harness.route, frame),
     )
@@ -66,15 +66,15 @@
     """The objects of the state whose classes the ledger lists, to check their fields."""
     harness, session = state.harness, state.clients.session
     route = harness.route
-    director = route._director
+    director = route._policy
     found: list[object] = [
         route,
-        route.admit,
-        route.book,
-        route.relay,
-        route.send,
+        route.admission,
+        route.accounting,
+        route.response_handler,
+        route.dispatcher,
         route.requests,
-        route.nodes,
+        route.endpoints,
         route.purges,
         harness.budget,
         harness.timers,
--- a/edge_router/model_checker/fingerprint/common.py
+++ b/edge_router/model_checker/fingerprint/common.py
@@ -6,7 +6,7 @@
 from typing import Any, NamedTuple
 
 from edge_router.decision.messages import Endpoint
-from edge_router.proxy.request_table import OpenRequest
+from edge_router.proxy.request_table import ActiveRequest
 
 WIRING = "points to another part that is encoded on its own, and never changes"
 FIXED = "set once from the settings"
@@ -44,9 +44,9 @@
 class Frame:
     """The names that an encoding is relative to: the present, and the places of requests in the scope."""
 
-    def __init__(self, now: float, requests: Iterable[OpenRequest]) -> None:
+    def __init__(self, now: float, requests: Iterable[ActiveRequest]) -> None:
         self.now = now  # Unix milliseconds
-        self._places = {request.req: int(request.asked.request_id, 16) for request in requests}
+        self._places = {request.request_number: int(request.incoming.request_id, 16) for request in requests}
 
     def time(self, moment: float) -> float:
         """Milliseconds from now to a Unix millisecond; 0 stays 0."""
--- a/edge_router/model_checker/fingerprint/decision.py
+++ b/edge_router/model_checker/fingerprint/decision.py
@@ -17,7 +17,7 @@
 )
 
 DECISION: Ledger = {
-    policy.Director: Fields(
+    policy.RoutingPolicy: Fields(
         "_listed _popularity _cache_health _source_health _cold_caches _cold_parents _purges _held "
         "_loads _wait _origin _link _copies _mean_work _hedges",
         {
@@ -37,11 +37,11 @@
             "handle": "wrapped for the observer",
         },
     ),
-    policy.Held: Fields(
+    policy.PendingRequest: Fields(
         "work deadline aim attempts missed spares tried bad_sources",
         {"request": DERIVED, "cls": DERIVED, "why": REPORTED},
     ),
-    policy.Attempt: Fields(
+    policy.AttemptRecord: Fields(
         "node source sent due fills budget beside filling pending may_have_run overdue",
         {"load": DERIVED, "source_load": DERIVED},
     ),
@@ -61,7 +61,7 @@
 }
 
 
-def encode_director(director: policy.Director, frame: Frame) -> tuple[Any, ...]:
+def encode_director(director: policy.RoutingPolicy, frame: Frame) -> tuple[Any, ...]:
     """The decision module, in a form that can be sorted and compared."""
     return (
         tuple(frame.node(director._listed[key]) for key in sorted(director._listed)),
@@ -140,7 +140,7 @@
     )
 
 
-def _attempt(attempt: policy.Attempt, frame: Frame) -> tuple[Any, ...]:
+def _attempt(attempt: policy.AttemptRecord, frame: Frame) -> tuple[Any, ...]:
     return (
         attempt.node,
         attempt.source,
@@ -157,7 +157,7 @@
     )
 
 
-def _held(held: policy.Held, frame: Frame) -> tuple[Any, ...]:
+def _held(held: policy.PendingRequest, frame: Frame) -> tuple[Any, ...]:
     """A request that the decision module has in flight."""
     return (
         rounded(held.work),
--- a/edge_router/model_checker/fingerprint/peers.py
+++ b/edge_router/model_checker/fingerprint/peers.py
@@ -13,7 +13,7 @@
 from edge_router.model_checker.model.state import ModelState
 from edge_router.model_checker.peers import LinkSocket, ServerChannel
 from edge_router.model_checker.properties import ObservedAttempt, ObservedRequest, Observer, RequestState
-from edge_router.proxy.request_router import Route
+from edge_router.proxy.request_router import RequestRouter
 
 EVENT_HEAD = 13  # bytes of an event of the change log before its payload
 
@@ -28,7 +28,7 @@
 
 def encode_server(channel: ServerChannel, harness: Harness, frame: Frame) -> tuple[Any, ...]:
     """A connection to a modelled cache: the router's end, its socket, and what the cache knows."""
-    sock, node = channel.sock, channel.link.node
+    sock, node = channel.sock, channel.link.endpoint_id
     return (
         node,
         channel.process,
@@ -43,7 +43,7 @@
         tuple(sorted(dict.fromkeys(channel.done))),
         tuple(sorted(channel.numbers.items())),
         channel.unsent,
-        any(link is channel.link for link in harness.route.send._links.get(node, ())),
+        any(link is channel.link for link in harness.route.dispatcher._connections.get(node, ())),
     )
 
 
@@ -87,15 +87,15 @@
     return (
         log.up,
         log.skips,
-        len(log.frames) - follower.last,
-        follower._jumped - follower.last,
-        follower._from_start,
-        tuple(log.frames[follower.last :]),
+        len(log.frames) - follower.last_sequence,
+        follower._sequence_after_gap - follower.last_sequence,
+        follower._replaying_all,
+        tuple(log.frames[follower.last_sequence :]),
         log.frames[-1][EVENT_HEAD:] if may_repeat else b"",
     )
 
 
-def encode_observer(observer: Observer, route: Route, frame: Frame) -> tuple[Any, ...]:
+def encode_observer(observer: Observer, route: RequestRouter, frame: Frame) -> tuple[Any, ...]:
     """What the observer has to remember of purges and requests."""
     purges = tuple(
         (frame.time(purge.notified_at), frame.time(purge.purged_at), purge.group, purge.key)
@@ -105,8 +105,8 @@
     return (purges, requests)
 
 
-def _request(txn: str, request: ObservedRequest, route: Route, frame: Frame) -> tuple[Any, ...]:
-    if request.state is not RequestState.OPEN and route.requests._txns.get(txn) is None:
+def _request(txn: str, request: ObservedRequest, route: RequestRouter, frame: Frame) -> tuple[Any, ...]:
+    if request.state is not RequestState.OPEN and route.requests._by_request_id.get(txn) is None:
         return (txn, request.state.value, 0.0, (), ())  # nothing that follows depends on the rest
     attempts = tuple(_attempt(attempt, frame) for attempt in request.attempts)
     history = (tuple(request.ended), request.orders, tuple(sorted(request.codes.items())))
--- a/edge_router/model_checker/fingerprint/proxy.py
+++ b/edge_router/model_checker/fingerprint/proxy.py
@@ -18,27 +18,27 @@
     rounded,
 )
 from edge_router.proxy import admission, dispatch, request_table, response_handler
-from edge_router.proxy.accounting import Book
-from edge_router.proxy.request_router import Route
-from edge_router.runtime.memory_budget import Budget
-from edge_router.runtime.timers import Alarm
+from edge_router.proxy.accounting import RequestAccounting
+from edge_router.proxy.request_router import RequestRouter
+from edge_router.runtime.memory_budget import MemoryBudget
+from edge_router.runtime.timers import TimerHandle
 
 PROXY: Ledger = {
-    Route: Fields(
+    RequestRouter: Fields(
         "_undecided",
         {
             "_settings": FIXED,
             "_clock": WIRING,
             "_timers": WIRING,
-            "_director": WIRING,
-            "peer_time": "peers and router share one clock here, so it stays as it was set",
+            "_policy": WIRING,
+            "peer_clock": "peers and router share one clock here, so it stays as it was set",
             "purges": WIRING,
-            "nodes": WIRING,
+            "endpoints": WIRING,
             "requests": WIRING,
-            "admit": WIRING,
-            "book": WIRING,
-            "relay": WIRING,
-            "send": WIRING,
+            "admission": WIRING,
+            "accounting": WIRING,
+            "response_handler": WIRING,
+            "dispatcher": WIRING,
             "_carry": FIXED,
             "_wake": WIRING,
             "_events": "empty between steps",
@@ -46,133 +46,142 @@
             "_said": REPORTED,
         },
     ),
-    admission.Admit: Fields(
-        "cpu latest",
+    admission.AdmissionController: Fields(
+        "cpu_credit answer_by",
         {
             "_random": "always the middle here",
-            "_longest_pause": FIXED,
+            "_max_retry_after": FIXED,
             "_priority": FIXED,
-            "_patience": FIXED,
+            "_max_queue_time": FIXED,
             "_requests": WIRING,
             "_budget": WIRING,
-            "_most": FIXED,
+            "_max_requests": FIXED,
             "_bytes_per_kb": FIXED,
         },
     ),
-    Book: Fields(
+    RequestAccounting: Fields(
         "",
         {
             "_clock": WIRING,
-            "_admit": WIRING,
+            "_admission": WIRING,
             "_post": WIRING,
             "counts": REPORTED,
-            "check": REPORTED,
-            "_waited": REPORTED,
+            "invariants": REPORTED,
+            "_max_queue_time": REPORTED,
         },
     ),
-    response_handler.Relay: Fields(
+    response_handler.ResponseHandler: Fields(
         "",
         {
             "_settings": FIXED,
-            "_book": WIRING,
+            "_accounting": WIRING,
             "_clock": WIRING,
-            "_peer_time": WIRING,
+            "_peer_clock": WIRING,
             "_purges": WIRING,
         },
     ),
-    purge_history.ToldPurges: Fields("_told", {"_kept_for": FIXED, "_next_sweep": DERIVED}),
-    dispatch.Send: Fields(
-        "most_links _links _where",
+    purge_history.PurgeHistory: Fields("_purges", {"_retention": FIXED, "_next_sweep": DERIVED}),
+    dispatch.AttemptDispatcher: Fields(
+        "max_connections _connections _connection_of",
         {
             "_clock": WIRING,
             "_timers": WIRING,
-            "_nodes": WIRING,
+            "_endpoints": WIRING,
             "_settings": FIXED,
-            "_book": WIRING,
-            "_relay": WIRING,
+            "_accounting": WIRING,
+            "_response_handler": WIRING,
             "_connect": WIRING,
         },
     ),
-    dispatch.Link: Fields(
-        "node address opened_at open given_up answered doubtful heard_at used_at connection",
-        {"_send": WIRING},
+    dispatch.UpstreamConnection: Fields(
+        "endpoint_id address opened_at attempts abandoned_ids answered_ids suspect "
+        "last_received_at last_used_at channel",
+        {"_dispatcher": WIRING},
     ),
-    request_table.OpenRequests: Fields("_open _txns", {"_next": "a request is named by its place"}),
-    request_table.OpenRequest: Fields(
-        "asked deadline holds answered backstop expired attempts",
-        {"req": "a request is named by its place"},
+    request_table.RequestTable: Fields(
+        "_by_number _by_request_id", {"_last_number": "a request is named by its place"}
+    ),
+    request_table.ActiveRequest: Fields(
+        "incoming deadline reserved_bytes answered backstop_timer expired attempts",
+        {"request_number": "a request is named by its place"},
     ),
     request_table.Attempt: Fields(
-        "number order ordered_at written_at outdated ended moved alarm outcome",
+        "index instruction created_at sent_at purged ended reassigned timeout_timer outcome",
         {"request": WIRING},
     ),
-    endpoint_table.NodeTable: Fields("_members", {"_starts": "peers and router share one clock here"}),
-    Budget: Fields("most _used", {}),
+    endpoint_table.EndpointTable: Fields("_endpoints", {"_starts": "peers and router share one clock here"}),
+    MemoryBudget: Fields("limit _used", {}),
 }
 
 
-def encode_proxy(route: Route, memory: Budget, frame: Frame) -> tuple[Any, ...]:
+def encode_proxy(route: RequestRouter, memory: MemoryBudget, frame: Frame) -> tuple[Any, ...]:
     """The stages and the tables, in a form that can be sorted and compared."""
     return (
-        getattr(route.admit.cpu, "saved", 0.0),
-        frame.time(route.admit.latest),
+        getattr(route.admission.cpu_credit, "saved", 0.0),
+        frame.time(route.admission.answer_by),
         _members(route, frame),
         _purges(route, frame),
         tuple(sorted(_request(request, frame) for request in route.requests)),
-        tuple(sorted((txn, frame.place(request.req)) for txn, request in route.requests._txns.items())),
-        tuple((frame.time(came), frame.place(request.req)) for came, request in route._undecided),
+        tuple(
+            sorted(
+                (txn, frame.place(request.request_number))
+                for txn, request in route.requests._by_request_id.items()
+            )
+        ),
+        tuple((frame.time(came), frame.place(request.request_number)) for came, request in route._undecided),
         _links(route, frame),
         _attempts_on_links(route, frame),
-        route.send.most_links,
-        memory.most,
+        route.dispatcher.max_connections,
+        memory.limit,
         memory._used,
     )
 
 
-def _members(route: Route, frame: Frame) -> tuple[Any, ...]:
+def _members(route: RequestRouter, frame: Frame) -> tuple[Any, ...]:
     return tuple(
         (key, frame.node(member.endpoint), member.host, member.port)
-        for key, member in sorted(route.nodes._members.items())
+        for key, member in sorted(route.endpoints._endpoints.items())
     )
 
 
-def _purges(route: Route, frame: Frame) -> tuple[Any, ...]:
+def _purges(route: RequestRouter, frame: Frame) -> tuple[Any, ...]:
     return tuple(
         (name, tuple((frame.time(told), frame.time(unix)) for told, unix in found))
-        for name, found in sorted(route.purges._told.items())
+        for name, found in sorted(route.purges._purges.items())
     )
 
 
-def _links(route: Route, frame: Frame) -> tuple[Any, ...]:
+def _links(route: RequestRouter, frame: Frame) -> tuple[Any, ...]:
     return tuple(
-        (key, tuple(_link(link, frame) for link in links)) for key, links in sorted(route.send._links.items())
+        (key, tuple(_link(link, frame) for link in links))
+        for key, links in sorted(route.dispatcher._connections.items())
     )
 
 
-def _attempts_on_links(route: Route, frame: Frame) -> tuple[Any, ...]:
+def _attempts_on_links(route: RequestRouter, frame: Frame) -> tuple[Any, ...]:
     return tuple(
         sorted(
-            (frame.place(attempt.request.req), attempt.number, link.node)
-            for attempt, link in route.send._where.items()
+            (frame.place(attempt.request.request_number), attempt.index, link.endpoint_id)
+            for attempt, link in route.dispatcher._connection_of.items()
         )
     )
 
 
-def _request(request: request_table.OpenRequest, frame: Frame) -> tuple[Any, ...]:
+def _request(request: request_table.ActiveRequest, frame: Frame) -> tuple[Any, ...]:
     return (
-        int(request.asked.request_id, 16),
+        int(request.incoming.request_id, 16),
         frame.time(request.deadline),
-        request.holds,
+        request.reserved_bytes,
         request.answered,
         request.expired,
-        _alarm(request.backstop),
+        _alarm(request.backstop_timer),
         tuple(_attempt(attempt, frame) for attempt in request.attempts),
     )
 
 
-def _alarm(alarm: Alarm | None) -> int:
+def _alarm(alarm: TimerHandle | None) -> int:
     """Whether an alarm is set: -1 for none, else 0 or 1."""
-    return -1 if alarm is None else int(alarm.call is not None)
+    return -1 if alarm is None else int(alarm.callback is not None)
 
 
 def _order(order: StartAttempt, frame: Frame) -> tuple[Any, ...]:
@@ -191,36 +200,36 @@
 
 def _attempt(attempt: request_table.Attempt, frame: Frame) -> tuple[Any, ...]:
     return (
-        attempt.number,
-        _order(attempt.order, frame),
-        frame.time(attempt.ordered_at),
-        frame.time(attempt.written_at),
-        attempt.outdated,
+        attempt.index,
+        _order(attempt.instruction, frame),
+        frame.time(attempt.created_at),
+        frame.time(attempt.sent_at),
+        attempt.purged,
         attempt.ended,
-        attempt.moved,
-        _alarm(attempt.alarm),
+        attempt.reassigned,
+        _alarm(attempt.timeout_timer),
         -1 if attempt.outcome is None else int(attempt.outcome),
     )
 
 
-def _link(link: dispatch.Link, frame: Frame) -> tuple[Any, ...]:
+def _link(link: dispatch.UpstreamConnection, frame: Frame) -> tuple[Any, ...]:
     """A connection to a cache as the send stage sees it, without its channel."""
     return (
-        link.node,
+        link.endpoint_id,
         link.address,
         frame.time(link.opened_at),
-        tuple(sorted((txn, attempt.number) for txn, attempt in link.open.items())),
-        tuple(sorted(link.given_up)),
-        tuple(sorted(link.answered)),
-        link.doubtful,
-        frame.time(link.heard_at),
-        frame.time(link.used_at),
+        tuple(sorted((txn, attempt.index) for txn, attempt in link.attempts.items())),
+        tuple(sorted(link.abandoned_ids)),
+        tuple(sorted(link.answered_ids)),
+        link.suspect,
+        frame.time(link.last_received_at),
+        frame.time(link.last_used_at),
     )
 
 
 def encode_command(command: Any, frame: Frame) -> tuple[Any, ...]:
     """A command (a fetch or an abort) that waits to be written."""
-    if isinstance(command, dispatch.Fetch):
+    if isinstance(command, dispatch.FetchCommand):
         attempt = command._attempt
-        return (frame.place(attempt.request.req), attempt.number, attempt.ended)
+        return (frame.place(attempt.request.request_number), attempt.index, attempt.ended)
     return (command._txn,)
--- a/edge_router/model_checker/fingerprint/transport.py
+++ b/edge_router/model_checker/fingerprint/transport.py
@@ -12,8 +12,8 @@
 from edge_router.protocol.resp import Decoder
 from edge_router.proxy import request_table
 from edge_router.runtime.timers import Timers
-from edge_router.transport.client_session import Session
-from edge_router.transport.upstream_channel import Channel
+from edge_router.transport.client_session import ClientSession
+from edge_router.transport.upstream_channel import UpstreamChannel
 
 TRANSPORT: Ledger = {
     Timers: Fields(
@@ -27,8 +27,8 @@
             "_stall": "read for what waits unread; bytes are read as soon as they arrive here",
         },
     ),
-    Channel: Fields(
-        "_queue _rest _full buffer decoder lacking up over halfway_at",
+    UpstreamChannel: Fields(
+        "_queue _rest _full buffer decoder local_shortage connected closed partial_since",
         {
             "_owner": WIRING,
             "_clock": WIRING,
@@ -38,9 +38,9 @@
         },
     ),
     Decoder: Fields("_items _left _bulk", {}),
-    Session: Fields(
-        "_decoder _buffer _leaving _partial_since mute _urgent _answers _unsent _rest _full _broken "
-        "closing finished",
+    ClientSession: Fields(
+        "_decoder _buffer _leaving _partial_since silent _urgent _answers _unsent "
+        "_rest _full _broken closing finished",
         {
             "_sock": WIRING,
             "sock": "encoded by its fields",
@@ -48,7 +48,7 @@
             "_clock": WIRING,
             "_budget": WIRING,
             "last_used": "read by the check of idle clients, which is not played here",
-            "unread_for": "bytes are read as soon as they arrive here",
+            "time_unread": "bytes are read as soon as they arrive here",
             "_unread_most": "bytes are read as soon as they arrive here",
             "_unread_last": "bytes are read as soon as they arrive here",
         },
@@ -57,7 +57,7 @@
 }
 
 
-def encode_channel(channel: Channel, frame: Frame) -> tuple[Any, ...]:
+def encode_channel(channel: UpstreamChannel, frame: Frame) -> tuple[Any, ...]:
     """A connection to a cache: its queue, buffers and decoder."""
     buffer, decoder = channel.buffer, channel.decoder
     return (
@@ -68,14 +68,14 @@
         tuple(decoder._items),
         decoder._left,
         decoder._bulk,
-        channel.lacking,
-        channel.up,
-        channel.over,
-        frame.time(channel.halfway_at),
+        channel.local_shortage,
+        channel.connected,
+        channel.closed,
+        frame.time(channel.partial_since),
     )
 
 
-def encode_session(session: Session, frame: Frame) -> tuple[Any, ...]:
+def encode_session(session: ClientSession, frame: Frame) -> tuple[Any, ...]:
     """A client connection: its decoder, its buffers and what it still owes."""
     decoder = session._decoder
     return (
@@ -86,7 +86,7 @@
         len(session._buffer),
         session._leaving,
         frame.time(session._partial_since),
-        session.mute,
+        session.silent,
         tuple(session._urgent),
         tuple((ident, tuple(records)) for ident, records in session._answers),
         session._unsent,
@@ -99,9 +99,9 @@
 def encode_timers(timers: Timers, seconds: float, frame: Frame) -> tuple[Any, ...]:
     """All alarms that are set, in their order; `seconds` is the present on the clock of the timers."""
     return tuple(
-        (round(due - seconds, 6), _call(alarm.call, frame))
+        (round(due - seconds, 6), _call(alarm.callback, frame))
         for due, _, alarm in sorted(timers._heap, key=lambda entry: entry[:2])
-        if alarm.call is not None
+        if alarm.callback is not None
     )
 
 
@@ -112,9 +112,9 @@
     found: list[Any] = [getattr(call.func, "__name__", "")]
     for argument in call.args:
         if isinstance(argument, request_table.Attempt):
-            found += [frame.place(argument.request.req), argument.number]
-        elif isinstance(argument, request_table.OpenRequest):
-            found.append(frame.place(argument.req))
+            found += [frame.place(argument.request.request_number), argument.index]
+        elif isinstance(argument, request_table.ActiveRequest):
+            found.append(frame.place(argument.request_number))
         else:
             found.append(frame.place(getattr(argument, "token", -1)))
     return tuple(found)
--- a/edge_router/model_checker/model/caches.py
+++ b/edge_router/model_checker/model/caches.py
@@ -39,13 +39,13 @@
     def establish(self, name: str) -> None:
         """The connection is established."""
         channel = self._harness.channel(name)
-        channel.opened(channel.sock)
+        channel.on_connected(channel.sock)
 
     def refuse(self, name: str) -> None:
         """The connection is refused."""
         channel = self._harness.remove_channel(name)
-        channel.failed(ConnectionRefusedError("refused"))
-        channel.ended()
+        channel.on_connect_failed(ConnectionRefusedError("refused"))
+        channel.on_closed()
 
     def never_establish(self, name: str) -> None:
         """The connection will never be established."""
@@ -54,9 +54,9 @@
     def lack_descriptor(self, name: str) -> None:
         """There is no descriptor for the connection."""
         channel = self._harness.remove_channel(name)
-        channel.lacking = True
-        channel.failed(OSError(24, "too many open files"))
-        channel.ended()
+        channel.local_shortage = True
+        channel.on_connect_failed(OSError(24, "too many open files"))
+        channel.on_closed()
 
     def choke(self, name: str, room: int) -> None:
         """The connection accepts only so many bytes more."""
@@ -67,7 +67,7 @@
         channel = self._harness.channel(name)
         channel.sock.room = None
         if channel._full:
-            channel.writable()
+            channel.on_writable()
 
     def reset(self, name: str) -> None:
         """The cache resets the connection."""
@@ -80,11 +80,11 @@
     def end(self, name: str) -> None:
         """The router notices the end of a connection."""
         channel = self._harness.remove_channel(name)
-        channel.ended("" if channel.over else f"{channel.sock.end or ''} by the server")
+        channel.on_closed("" if channel.closed else f"{channel.sock.end or ''} by the server")
 
     def give_up_connecting(self, name: str) -> None:
         """The router has waited for the connection as long as it may."""
-        self._harness.remove_channel(name).ended("not up in time")
+        self._harness.remove_channel(name).on_closed("not up in time")
 
     # -- answers --
 
@@ -101,7 +101,7 @@
 
     def _answer_to(self, word: str, channel: ServerChannel, place: int) -> CacheAnswer:
         cls = self._clients.requests[place].cls
-        return self._make_answer(word, txn_id(place), channel.link.node, cls)
+        return self._make_answer(word, txn_id(place), channel.link.endpoint_id, cls)
 
     def _report(self, channel: ServerChannel, txn: str, code: str, body: bytes, born: float) -> None:
         number = channel.numbers.get(txn, -1)
@@ -162,15 +162,15 @@
         """What the router itself does next on connections that have ended or are not established."""
         harness, steps = self._harness, []
         for channel in harness.channels:
-            if channel.over or (channel.up and channel.sock.end):
+            if channel.closed or (channel.connected and channel.sock.end):
                 steps.append(f"end {harness.channel_name(channel)}")
-            elif not channel.up and harness.t >= channel.until:
+            elif not channel.connected and harness.t >= channel.until:
                 steps.append(f"notup {harness.channel_name(channel)}")
         return steps
 
     def enabled(self, channel: ServerChannel, fault_allowed: bool) -> list[str]:
         """The steps of a connection and of the cache at its other end."""
-        if channel.over or channel.sock.end:
+        if channel.closed or channel.sock.end:
             return []
         name = self._harness.channel_name(channel)
         kinds = self._scope.kinds if fault_allowed else ()
@@ -181,14 +181,14 @@
             steps += self._answers_to(channel, name, txn, fault_allowed)
         if "choke" in kinds and channel.sock.room is None:
             steps += [f"choke{room} {name}" for room in CHOKED_ROOM]
-        if channel.up:
+        if channel.connected:
             steps += [f"{kind} {name}" for kind in ("reset", "hangup", "stray") if kind in kinds]
             if "second" in kinds:
                 steps += [f"second {name} {place_of(txn)}" for txn in dict.fromkeys(channel.done)]
         return steps
 
     def _connection_steps(self, channel: ServerChannel, name: str, kinds: tuple[str, ...]) -> list[str]:
-        if channel.up:
+        if channel.connected:
             return [f"flush {name}"] if channel.sock.room is not None else []
         if channel.silent:
             return []
@@ -216,23 +216,25 @@
         harness = self._harness
         for channel in harness.channels:
             name = harness.channel_name(channel)
-            if not channel.over and not harness.route.nodes.lists(channel.link.node):
+            if not channel.closed and not harness.route.endpoints.contains(channel.link.endpoint_id):
                 harness.violated("gone-closed", f"{name} stays open")
-            if channel.up and not (channel.over or channel.sock.end or channel._full or channel._queue):
+            if channel.connected and not (
+                channel.closed or channel.sock.end or channel._full or channel._queue
+            ):
                 for txn in channel.asked:
-                    if txn not in channel.aborted and txn not in channel.link.open:
+                    if txn not in channel.aborted and txn not in channel.link.attempts:
                         harness.violated("cancelled", f"{name} was not notified of a cancelled attempt")
 
     def commands_will_go(self, channel: ServerChannel) -> bool:
         """Whether all commands that wait on the connection will be written, so that none ends an attempt."""
         if channel.sock.end:
             return False
-        nodes = self._harness.route.nodes
+        nodes = self._harness.route.endpoints
         attempts = [getattr(command, "_attempt", None) for command in channel._queue]
         return all(
             attempt is None
-            or not (attempt.ended or attempt.outdated)
-            and nodes.ready(attempt.order.endpoint_id)
-            and nodes.ready(attempt.order.source_id)
+            or not (attempt.ended or attempt.purged)
+            and nodes.is_ready(attempt.instruction.endpoint_id)
+            and nodes.is_ready(attempt.instruction.source_id)
             for attempt in attempts
         )
--- a/edge_router/model_checker/model/change_log.py
+++ b/edge_router/model_checker/model/change_log.py
@@ -5,12 +5,12 @@
 import struct
 
 from edge_router.decision.messages import EndpointState
-from edge_router.discovery.change_log import Follower, frames
+from edge_router.discovery.change_log import ChangeLogDecoder, frames
 from edge_router.discovery.events import DiscoveryEvent, EndpointsChanged, ObjectPurged
 from edge_router.model_checker.model.endpoints import Endpoints
 from edge_router.model_checker.model.harness import Harness
 from edge_router.model_checker.properties import ObservedPurge
-from edge_router.protocol.buffer import Buffer
+from edge_router.protocol.buffer import ReceiveBuffer
 
 PURGED_GROUP = 3
 COMPLETE_LIST, CHANGED_NODES, OBJECT_PURGE, GROUP_PURGE = 1, 2, 3, 4  # kinds of events
@@ -26,7 +26,7 @@
     def __init__(self, harness: Harness, endpoints: Endpoints) -> None:
         self._harness = harness
         self._endpoints = endpoints
-        self.follower = Follower(0)
+        self.follower = ChangeLogDecoder(0)
         self.frames: list[bytes] = []  # by number, from 1 on
         self.up = True
         self.skips = False  # the next event comes under a number too high
@@ -113,9 +113,9 @@
 
     def _deliver(self, data: bytes) -> bool:
         """Hands a frame to the follower; False if it wants to connect anew."""
-        buffer = Buffer(_BUFFER)
-        buffer.feed(data)
-        return all(self.follower.take(frame, self) for frame in frames(buffer))
+        buffer = ReceiveBuffer(_BUFFER)
+        buffer.append(data)
+        return all(self.follower.process(frame, self) for frame in frames(buffer))
 
     def on_discovery_event(self, event: DiscoveryEvent) -> None:
         """Called by the follower with each event; passes it to the observer, then to the router."""
@@ -131,8 +131,8 @@
 
     def check_followed(self) -> None:
         """Checks that the router has received each event once, while it is connected."""
-        if self.up and not self.follower.last == self.received == len(self.frames):
+        if self.up and not self.follower.last_sequence == self.received == len(self.frames):
             self._harness.violated(
                 "log-followed",
-                f"{len(self.frames)} events, {self.received} received, last {self.follower.last}",
+                f"{len(self.frames)} events, {self.received} received, last {self.follower.last_sequence}",
             )
--- a/edge_router/model_checker/model/clients.py
+++ b/edge_router/model_checker/model/clients.py
@@ -11,7 +11,12 @@
 from edge_router.model_checker import scope as bounds
 from edge_router.model_checker.model.endpoints import FIRST_CACHE
 from edge_router.model_checker.model.harness import Harness
-from edge_router.model_checker.peers import ClientRequestFields, ClientSession, ClientSocket, request_bytes
+from edge_router.model_checker.peers import (
+    ClientRequestFields,
+    ClientSocket,
+    ModelClientSession,
+    request_bytes,
+)
 from edge_router.model_checker.properties import RequestState, Verdict
 from edge_router.model_checker.scope import CACHE, CLASSES, Scope
 from edge_router.protocol import fastcgi
@@ -78,9 +83,9 @@
         caches = tuple(FIRST_CACHE + place for place in range(scope.caches))
         self._objects = {cls: _object_key(cls, caches) for cls in set(scope.requests)}
 
-    def _open_session(self) -> ClientSession:
+    def _open_session(self) -> ModelClientSession:
         harness = self._harness
-        return ClientSession(
+        return ModelClientSession(
             ClientSocket(self._record_received), harness.front, harness.clock.now, harness.budget
         )
 
@@ -115,7 +120,7 @@
         cls = self.requests[place].cls
         self._set_progress(place, Progress.ASKED)
         txn, harness = txn_id(place), self._harness
-        deadline = min(harness.now + TTL - MARGIN, harness.route.admit.latest)
+        deadline = min(harness.now + TTL - MARGIN, harness.route.admission.answer_by)
         harness.observer.request_received(txn, cls, deadline + BACKSTOP)
         if self.session.finished:
             self.session = self._open_session()
@@ -165,7 +170,7 @@
         """The router ends the client connection."""
         self.session.finished = True
         self._harness.observer.all_clients_left()
-        self.session.ended()
+        self.session.on_closed()
 
     # -- which steps are enabled --
 
--- a/edge_router/model_checker/model/harness.py
+++ b/edge_router/model_checker/model/harness.py
@@ -11,12 +11,12 @@
 from edge_router.model_checker.peers import ServerChannel
 from edge_router.model_checker.properties import Observer
 from edge_router.model_checker.scope import CLASSES, Scope
-from edge_router.proxy.dispatch import Link, connection_limit
-from edge_router.proxy.fastcgi_frontend import Front
-from edge_router.proxy.request_router import Route
+from edge_router.proxy.dispatch import UpstreamConnection, connection_limit
+from edge_router.proxy.fastcgi_frontend import FastCgiFrontend
+from edge_router.proxy.request_router import RequestRouter
 from edge_router.runtime import event_log as ground_log
 from edge_router.runtime.clock import Clock, CpuCredit
-from edge_router.runtime.memory_budget import Budget
+from edge_router.runtime.memory_budget import MemoryBudget
 from edge_router.runtime.timers import Timers
 
 START = 1_000_000.0  # the Unix second at which every run begins
@@ -63,18 +63,20 @@
         self.t = START  # seconds
         self.clock = Clock(self._seconds, self._seconds)
         self.timers = Timers(self.clock, self._seconds)
-        self.budget = Budget()
-        self.budget.most = MEMORY
+        self.budget = MemoryBudget()
+        self.budget.limit = MEMORY
         self.settings = bounds.settings(scope.attempts, scope.cancel)
         self.cpu = FixedCredit()
         self.channels: list[ServerChannel] = []  # those whose end the router has not been notified of
-        self.route = Route(self.settings, ROUTER_ID, self.clock, self.timers, self.budget, 0.0, self._connect)
-        self.route.admit.cpu = self.cpu
-        for chooser in (self.route.admit, self.route._director):
+        self.route = RequestRouter(
+            self.settings, ROUTER_ID, self.clock, self.timers, self.budget, 0.0, self._connect
+        )
+        self.route.admission.cpu_credit = self.cpu
+        for chooser in (self.route.admission, self.route._policy):
             setattr(chooser, "_random", MiddleRandom())  # noqa: B010
-        setattr(self.route._director, "handle", ObservedHandler(self))  # noqa: B010
-        self.route.send.most_links = connection_limit(SOCKETS)
-        self.front = Front(self.settings, self.route)
+        setattr(self.route._policy, "handle", ObservedHandler(self))  # noqa: B010
+        self.route.dispatcher.max_connections = connection_limit(SOCKETS)
+        self.front = FastCgiFrontend(self.settings, self.route)
         self.front.ready = True
         self.term_at = math.inf  # the second at which all open requests are ended after SIGTERM
         self.expired = False
@@ -91,12 +93,12 @@
         """Makes this the core whose log lines are read; there may be several copies in the process."""
         global _active
         _active = self
-        ground_log.divert(_on_log_line)
+        ground_log.set_sink(_on_log_line)
 
     # -- what the core calls, and what it reports --
 
     def _connect(self, owner: Any, address: tuple[str, int], patience: float) -> ServerChannel:
-        assert isinstance(owner, Link)
+        assert isinstance(owner, UpstreamConnection)
         process = self._endpoints.processes.get(address[1], 0)
         channel = ServerChannel(self, owner, self.clock.now, process, self.t + patience)
         self.channels.append(channel)
@@ -114,19 +116,19 @@
         number = self._attempt_number(channel, txn)
         source = int(fields["from"].removeprefix("s-"), 16) if "from" in fields else None
         channel.numbers[txn] = number
-        self.observer.first_byte_sent(txn, number, channel.link.node, source, self.now)
+        self.observer.first_byte_sent(txn, number, channel.link.endpoint_id, source, self.now)
 
     def _attempt_number(self, channel: ServerChannel, txn: str) -> int:
         """The number of the request's attempt on that connection; -1 if the router has none."""
-        for attempt, link in self.route.send._where.items():
-            if link.connection is channel and attempt.request.asked.request_id == txn:
-                return attempt.number
+        for attempt, link in self.route.dispatcher._connection_of.items():
+            if link.channel is channel and attempt.request.incoming.request_id == txn:
+                return attempt.index
         return -1
 
     def txn_of(self, req: int) -> str | None:
         """The id of an open request; None for one that is over."""
         request = self.route.requests.get(req)
-        return request.asked.request_id if request is not None else None
+        return request.incoming.request_id if request is not None else None
 
     def on_log_line(self, event: str, fields: dict[str, object]) -> None:
         """The core has logged an event."""
@@ -139,8 +141,8 @@
 
     def channel_name(self, channel: ServerChannel) -> str:
         """The node of a connection, and its place among the connections to that node."""
-        node = channel.link.node
-        same = [other for other in self.channels if other.link.node == node]
+        node = channel.link.endpoint_id
+        same = [other for other in self.channels if other.link.endpoint_id == node]
         return f"{self._endpoints.name_of(node)}.{same.index(channel)}"
 
     def channel(self, name: str) -> ServerChannel:
@@ -161,7 +163,7 @@
 
     def _next_time(self) -> float:
         times = [self.timers.next_due(), self.term_at if not self.expired else math.inf]
-        times += [channel.until for channel in self.channels if not channel.up and not channel.over]
+        times += [channel.until for channel in self.channels if not channel.connected and not channel.closed]
         return min(times)
 
     def run_timers(self) -> None:
@@ -170,12 +172,12 @@
 
     def decide(self) -> None:
         """Lets the core decide the requests that wait for it."""
-        self.route.decide()
+        self.route.run_decisions()
 
     def idle(self) -> bool:
         """Whether no request, connection, decision or alarm is pending, but for the sweep of connections."""
         alarms = any(
-            alarm.call is not None and getattr(alarm.call, "__name__", "") != "_sweep"
+            alarm.callback is not None and getattr(alarm.callback, "__name__", "") != "_sweep"
             for _, _, alarm in self.timers._heap
         )
         stopping = self.term_at < math.inf and not self.expired
@@ -186,32 +188,32 @@
     def terminate(self) -> None:
         """The router receives SIGTERM."""
         self.term_at = self.t + SHUTDOWN_GRACE
-        self.route.admit.latest = self.now + SHUTDOWN_GRACE * 1000.0
+        self.route.admission.answer_by = self.now + SHUTDOWN_GRACE * 1000.0
 
     def expire(self) -> None:
         """The time that SIGTERM left is over."""
         self.expired = True
-        self.route.expire()
+        self.route.expire_all()
 
     # -- limits --
 
     def strained(self) -> bool:
         """Whether any of the router's limits is lower than at the start."""
         return (
-            self.budget.most < MEMORY
-            or self.route.send.most_links < connection_limit(SOCKETS)
+            self.budget.limit < MEMORY
+            or self.route.dispatcher.max_connections < connection_limit(SOCKETS)
             or self.cpu.saved < 0
         )
 
     def restore_limits(self) -> None:
         """Sets all limits as at the start."""
-        self.budget.most = MEMORY
-        self.route.send.most_links = connection_limit(SOCKETS)
+        self.budget.limit = MEMORY
+        self.route.dispatcher.max_connections = connection_limit(SOCKETS)
         self.cpu.saved = 0.0
 
     def exhaust_memory(self) -> None:
         """Leaves nothing of the memory budget."""
-        self.budget.most = 0.0
+        self.budget.limit = 0.0
 
     def exhaust_cpu(self) -> None:
         """Leaves the router over its share of CPU."""
@@ -219,7 +221,7 @@
 
     def limit_links(self, most: int) -> None:
         """Allows so many connections to caches."""
-        self.route.send.most_links = most
+        self.route.dispatcher.max_connections = most
 
 
 _active: Harness | None = None
@@ -235,7 +237,7 @@
 
     def __init__(self, harness: Harness) -> None:
         self._harness = harness
-        self._director = harness.route._director
+        self._director = harness.route._policy
 
     def __call__(self, now: float, event: Event) -> list[Action]:
         harness = self._harness
--- a/edge_router/model_checker/model/router_model.py
+++ b/edge_router/model_checker/model/router_model.py
@@ -56,10 +56,10 @@
         if not state.clients.session.stalled():
             harness.observer.check_overdue(harness.now)
         state.change_log.check_followed()
-        for attempt in harness.route.send._where:
+        for attempt in harness.route.dispatcher._connection_of:
             if attempt.request.answered and harness.settings.cancellation_allowed:
-                cls = attempt.request.asked.class_name
-                harness.violated("cancelled", f"attempt {attempt.number} of {cls} stays out")
+                cls = attempt.request.incoming.class_name
+                harness.violated("cancelled", f"attempt {attempt.index} of {cls} stays out")
         state.caches.check_connections()
 
     def default(self) -> str | None:
--- a/edge_router/model_checker/model/settling.py
+++ b/edge_router/model_checker/model/settling.py
@@ -16,7 +16,7 @@
 
 def held_resources(state: ModelState) -> dict[str, float]:
     """How much of each kind of resource the router holds; all are 0 in a quiet state."""
-    route, director, session = state.harness.route, state.harness.route._director, state.clients.session
+    route, director, session = state.harness.route, state.harness.route._policy, state.clients.session
     loads = [*director._loads.values(), director._link]
     session_ids = 0 if session.finished else len(session._decoder.open)
     unsent_answers = 0 if session.finished else len(session._answers) + session._unsent
@@ -24,9 +24,9 @@
     work_out = round(sum(abs(load.work) for load in loads), 6)
     return {
         "open requests": len(route.requests),
-        "request ids": len(route.requests._txns),
-        "connections": route.send.links(),
-        "attempts on connections": len(route.send._where),
+        "request ids": len(route.requests._by_request_id),
+        "connections": route.dispatcher.connection_count(),
+        "attempts on connections": len(route.dispatcher._connection_of),
         "bytes of the budget": state.harness.budget._used,
         "requests of the front": len(state.harness.front._open),
         "ids of the client": session_ids,
--- a/edge_router/model_checker/model/steps.py
+++ b/edge_router/model_checker/model/steps.py
@@ -65,7 +65,7 @@
     "reload": lambda state: state.harness.limit_links(1),
     "nomem": lambda state: state.harness.exhaust_memory(),
     "nocpu": lambda state: state.harness.exhaust_cpu(),
-    "nolinks": lambda state: state.harness.limit_links(state.harness.route.send.links()),
+    "nolinks": lambda state: state.harness.limit_links(state.harness.route.dispatcher.connection_count()),
     "relief": lambda state: state.harness.restore_limits(),
 }
 
@@ -204,7 +204,7 @@
         confined = state.scope.fine  # the router notices in a step of its own
     elif kind == "second":
         txn = txn_id(int(arguments[1]))
-        confined = txn not in state.harness.channel(arguments[0]).link.open
+        confined = txn not in state.harness.channel(arguments[0]).link.attempts
     else:
         confined = False
     return arguments[0] if confined else None
--- a/edge_router/model_checker/mutations/decision.py
+++ b/edge_router/model_checker/mutations/decision.py
@@ -9,7 +9,7 @@
     Mutation(
         "target-not-looked-at",
         rules,
-        "denial",
+        "send_denial",
         "if not node_ready:",
         "if False:",
         ("drain",),
@@ -18,7 +18,7 @@
     Mutation(
         "source-not-looked-at",
         rules,
-        "denial",
+        "send_denial",
         "if not source_ready:",
         "if False:",
         ("drain",),
@@ -63,7 +63,7 @@
     ),
     Mutation(
         "error-proves-nothing-ran",
-        policy.Director,
+        policy.RoutingPolicy,
         "_on_end",
         "attempt.may_have_run = event.outcome not in rules.PROVES_NOT_RUN",
         "attempt.may_have_run = event.outcome is Outcome.TIMEOUT",
@@ -81,7 +81,7 @@
     ),
     Mutation(
         "more-attempts-than-allowed",
-        policy.Director,
+        policy.RoutingPolicy,
         "_leave",
         "len(held.attempts) >= settings.max_attempts\n        or",
         "",
@@ -90,7 +90,7 @@
     ),
     Mutation(
         "nothing-called-off",
-        policy.Director,
+        policy.RoutingPolicy,
         "_close",
         "if self._set.cancellation_allowed:",
         "if False:",
@@ -99,7 +99,7 @@
     ),
     Mutation(
         "given-up-unanswered",
-        policy.Director,
+        policy.RoutingPolicy,
         "_on_end",
         "self._give_up(held)",
         "pass",
@@ -108,7 +108,7 @@
     ),
     Mutation(
         "load-not-taken-off",
-        policy.Director,
+        policy.RoutingPolicy,
         "_ended",
         "attempt.load.out -= 1",
         "pass",
--- a/edge_router/model_checker/peers.py
+++ b/edge_router/model_checker/peers.py
@@ -10,10 +10,10 @@
 from typing import Protocol
 
 from edge_router.protocol import fastcgi, resp
-from edge_router.proxy.dispatch import Link
-from edge_router.runtime.memory_budget import Budget
-from edge_router.transport.client_session import Handler, Session
-from edge_router.transport.upstream_channel import Channel
+from edge_router.proxy.dispatch import UpstreamConnection
+from edge_router.runtime.memory_budget import MemoryBudget
+from edge_router.transport.client_session import ClientSession, RequestHandler
+from edge_router.transport.upstream_channel import UpstreamChannel
 
 _FETCH = re.compile(rb"\*4\r\n\$5\r\nfetch\r\n\$16\r\n([0-9a-f]{16})\r\n\$\d+\r\n([^\r]*)\r\n")
 _ABORT = re.compile(rb"\*2\r\n\$5\r\nabort\r\n\$16\r\n([0-9a-f]{16})\r\n")
@@ -89,13 +89,13 @@
         raise BlockingIOError
 
 
-class ServerChannel(Channel):
+class ServerChannel(UpstreamChannel):
     """A connection to a cache, with its I/O driven by the model."""
 
     def __init__(
         self,
         observer: ChannelObserver,
-        link: Link,
+        link: UpstreamConnection,
         clock: Callable[[], float],
         process: int,
         until: float,
@@ -136,14 +136,14 @@
     def deliver(self, data: bytes) -> None:
         """Hands in bytes from the cache; bytes that can't be read end the connection."""
         try:
-            self.buffer.feed(data)
-            self.received()
+            self.buffer.append(data)
+            self.on_received()
         except resp.RespError as error:
-            self.over = True
+            self.closed = True
             self._why = str(error)
         except Exception as error:  # the router would log a bug and end the connection
             self.observer.violated("no-slip", repr(error))
-            self.over = True
+            self.closed = True
 
 
 class ClientSocket:
@@ -179,11 +179,11 @@
         raise BlockingIOError
 
 
-class ClientSession(Session):
+class ModelClientSession(ClientSession):
     """A client connection, with its I/O driven by the model."""
 
     def __init__(
-        self, sock: ClientSocket, handler: Handler, clock: Callable[[], float], budget: Budget
+        self, sock: ClientSocket, handler: RequestHandler, clock: Callable[[], float], budget: MemoryBudget
     ) -> None:
         super().__init__(sock, handler, clock, budget)
         self.sock = sock
@@ -206,13 +206,13 @@
         """The client accepts bytes again."""
         self.sock.room = None
         if self._full:
-            self.writable()
+            self.on_writable()
 
     def feed(self, data: bytes) -> None:
         """Hands in bytes from the client."""
-        self._buffer.feed(data)
+        self._buffer.append(data)
         try:
-            self.received()
+            self.on_received()
         except fastcgi.FastCgiError:
             self.closing = True
 
--- a/edge_router/protocol/buffer.py
+++ b/edge_router/protocol/buffer.py
@@ -13,7 +13,7 @@
     """The peer sent more than the connection may hold unread."""
 
 
-class Buffer:
+class ReceiveBuffer:
     """Bytes between `_start` and `_end` of one bytearray are waiting to be read."""
 
     def __init__(self, most: int) -> None:
@@ -25,7 +25,7 @@
     def __len__(self) -> int:
         return self._end - self._start
 
-    def room(self, want: int = FIRST) -> memoryview:
+    def writable_view(self, want: int = FIRST) -> memoryview:
         """A view to receive into; release it (or leave its `with` block) before anything else."""
         if self._start == self._end:
             self._start = self._end = 0
@@ -42,26 +42,26 @@
             self._data.extend(bytes(size - len(self._data)))
         return memoryview(self._data)[self._end :]
 
-    def filled(self, count: int) -> None:
+    def commit(self, count: int) -> None:
         """So many bytes were received into the last room."""
         self._end += count
 
-    def feed(self, data: bytes | bytearray) -> None:
+    def append(self, data: bytes | bytearray) -> None:
         """Appends bytes that are at hand."""
-        with self.room(len(data)) as view:
+        with self.writable_view(len(data)) as view:
             view[: len(data)] = data
-        self.filled(len(data))
+        self.commit(len(data))
 
     def find(self, mark: bytes, within: int) -> int:
         """Where the mark begins, counted from the first unread byte; -1 if not within so many bytes."""
         at = self._data.find(mark, self._start, min(self._end, self._start + within))
         return at - self._start if at >= 0 else -1
 
-    def unpack(self, form: struct.Struct) -> tuple[Any, ...]:
+    def peek_struct(self, form: struct.Struct) -> tuple[Any, ...]:
         """The next bytes in that form, left where they are; they must be there."""
         return form.unpack_from(self._data, self._start)
 
-    def take(self, count: int) -> bytes:
+    def read(self, count: int) -> bytes:
         """The next bytes, consumed."""
         data = bytes(self._data[self._start : min(self._end, self._start + count)])
         self._start += len(data)
--- a/edge_router/protocol/fastcgi.py
+++ b/edge_router/protocol/fastcgi.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from edge_router.protocol.buffer import Buffer
-from edge_router.runtime.memory_budget import Budget
+from edge_router.protocol.buffer import ReceiveBuffer
+from edge_router.runtime.memory_budget import MemoryBudget
 
 BEGIN, ABORT, END, PARAMS, STDIN, STDOUT, STDERR, DATA, GET_VALUES, GET_VALUES_RESULT, UNKNOWN = range(1, 12)
 COMPLETE, CANT_MPX, OVERLOADED, UNKNOWN_ROLE = range(4)
@@ -125,7 +125,7 @@
 class Decoder:
     """Requests out of records, however the bytes were split."""
 
-    def __init__(self, budget: Budget, clock: Callable[[], float]) -> None:
+    def __init__(self, budget: MemoryBudget, clock: Callable[[], float]) -> None:
         self._budget = budget
         self._clock = clock
         self._taking: dict[int, _Taking] = {}
@@ -133,16 +133,16 @@
         self.turned_away = 0  # requests in a row that could not be taken
         self.keep = True  # whether the client wants the connection kept once all is answered
 
-    def events(self, buffer: Buffer) -> Iterator[Arrived | Aborted | Reply]:
+    def events(self, buffer: ReceiveBuffer) -> Iterator[Arrived | Aborted | Reply]:
         """What the records that are whole amount to."""
         while len(buffer) >= _HEADER.size:
-            version, kind, ident, length, padding, _ = buffer.unpack(_HEADER)
+            version, kind, ident, length, padding, _ = buffer.peek_struct(_HEADER)
             if version != 1:
                 raise FastCgiError(f"version {version}")
             if len(buffer) < _HEADER.size + length + padding:
                 return
             buffer.skip(_HEADER.size)
-            content = buffer.take(length)
+            content = buffer.read(length)
             buffer.skip(padding)
             yield from self._one(kind, ident, content)
 
@@ -162,7 +162,7 @@
                     self.open.discard(ident)
                     yield Reply(end_record(ident, COMPLETE, 1))
         elif taking := self._taking.get(ident):  # of an unknown id: passed over, as the standard asks
-            if kind in (PARAMS, STDIN) and content and not self._budget.has(len(content)):
+            if kind in (PARAMS, STDIN) and content and not self._budget.can_reserve(len(content)):
                 taking.no_room = True
             elif kind == PARAMS:
                 yield from self._params(ident, taking, content)
@@ -171,7 +171,7 @@
                     yield self._ill(ident, "the body is too long")
                 else:
                     taking.body += content
-                    self._budget.take(len(content))
+                    self._budget.reserve(len(content))
             elif kind == STDIN:
                 self._taken(ident)
                 if taking.no_room:
@@ -181,7 +181,7 @@
 
     def _taken(self, ident: int) -> None:
         """The request comes in no more."""
-        self._budget.give(self._taking.pop(ident).size())
+        self._budget.release(self._taking.pop(ident).size())
 
     def _ill(self, ident: int, why: str) -> Arrived:
         """A request is answered before it is whole; the rest of it is passed over.
@@ -236,7 +236,7 @@
             yield self._ill(ident, "the parameters are too long")
         else:
             taking.params += content
-            self._budget.take(len(content))
+            self._budget.reserve(len(content))
 
     @staticmethod
     def _whole(ident: int, taking: _Taking) -> Arrived:
--- a/edge_router/protocol/resp.py
+++ b/edge_router/protocol/resp.py
@@ -5,7 +5,7 @@
 import re
 from collections.abc import Iterator, Sequence
 
-from edge_router.protocol.buffer import Buffer
+from edge_router.protocol.buffer import ReceiveBuffer
 
 MOST_ITEMS = 16
 MOST_BULK = 1 << 18
@@ -45,19 +45,19 @@
         return self._left > 0
 
     @staticmethod
-    def _number(buffer: Buffer, sign: bytes, least: int, most: int) -> int | None:
+    def _number(buffer: ReceiveBuffer, sign: bytes, least: int, most: int) -> int | None:
         """The number of a line like `*4` or `$16`; None if the line is not whole yet."""
         end = buffer.find(b"\r\n", MOST_LINE)
         if end < 0:
             if len(buffer) >= MOST_LINE:
                 raise RespError("a length line does not end")
             return None
-        line = buffer.take(end + 2)[:-2]
+        line = buffer.read(end + 2)[:-2]
         if line[:1] != sign or not line[1:].isdigit() or not least <= int(line[1:]) <= most:
             raise RespError(f"a length line reads {line!r}")
         return int(line[1:])
 
-    def arrays(self, buffer: Buffer) -> Iterator[list[bytes]]:
+    def arrays(self, buffer: ReceiveBuffer) -> Iterator[list[bytes]]:
         """All arrays that are whole."""
         while True:
             if not self._left:
@@ -73,8 +73,8 @@
             else:
                 if len(buffer) < self._bulk + 2:
                     return
-                self._items.append(buffer.take(self._bulk))
-                if buffer.take(2) != b"\r\n":
+                self._items.append(buffer.read(self._bulk))
+                if buffer.read(2) != b"\r\n":
                     raise RespError("a bulk string is longer than its length")
                 self._left, self._bulk = self._left - 1, -1
                 if not self._left:
--- a/edge_router/proxy/accounting.py
+++ b/edge_router/proxy/accounting.py
@@ -7,27 +7,29 @@
 
 from edge_router.decision.messages import AttemptEnded, Event, FillResult, Outcome
 from edge_router.decision.settings import Settings
-from edge_router.proxy.admission import Admit
-from edge_router.proxy.invariants import RuleCheck
-from edge_router.proxy.request_table import Attempt, OpenRequest
+from edge_router.proxy.admission import AdmissionController
+from edge_router.proxy.invariants import InvariantChecker
+from edge_router.proxy.request_table import ActiveRequest, Attempt
 from edge_router.runtime.clock import Clock
-from edge_router.runtime.event_log import log, log_some
+from edge_router.runtime.event_log import log, log_rate_limited
 
 TOLD = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.TIMEOUT, Outcome.RESET, Outcome.ERROR)
 
 
-class Book:
+class RequestAccounting:
     """Tells the decisions of every end, exactly once."""
 
-    def __init__(self, settings: Settings, clock: Clock, admit: Admit, post: Callable[[Event], None]) -> None:
+    def __init__(
+        self, settings: Settings, clock: Clock, admit: AdmissionController, post: Callable[[Event], None]
+    ) -> None:
         self._clock = clock
-        self._admit = admit
+        self._admission = admit
         self._post = post
         self.counts: Counter[str] = Counter()
-        self.check = RuleCheck(settings, self.counts)
-        self._waited = 0.0  # the longest that a request waited for its decision, in ms
+        self.invariants = InvariantChecker(settings, self.counts)
+        self._max_queue_time = 0.0  # the longest that a request waited for its decision, in ms
 
-    def ended(
+    def attempt_ended(
         self,
         attempt: Attempt,
         outcome: Outcome,
@@ -40,30 +42,30 @@
             return
         attempt.ended = True
         attempt.outcome = outcome
-        if attempt.alarm is not None:
-            attempt.alarm.off()
+        if attempt.timeout_timer is not None:
+            attempt.timeout_timer.cancel()
         self.counts[outcome.name.lower()] += 1
         if note:
             self.counts[f"note_{FillResult(note).name.lower()}"] += 1
-        request, order = attempt.request, attempt.order
-        took = self._clock.now() - (attempt.written_at or attempt.ordered_at)
+        request, order = attempt.request, attempt.instruction
+        took = self._clock.now() - (attempt.sent_at or attempt.created_at)
         if outcome in TOLD:
-            log_some(
+            log_rate_limited(
                 "attempt-failed",
-                req=request.asked.request_id,
+                req=request.incoming.request_id,
                 outcome=outcome.name.lower(),
                 node=f"s-{order.endpoint_id:08x}",
                 source=f"s-{order.source_id:08x}",
-                cls=request.asked.class_name,
-                kb=request.asked.size_kb,
+                cls=request.incoming.class_name,
+                kb=request.incoming.size_kb,
                 note=note,
                 took=took,
-                attempt=attempt.number,
+                attempt=attempt.index,
             )
         self._post(
             AttemptEnded(
-                request.req,
-                attempt.number,
+                request.request_number,
+                attempt.index,
                 order.endpoint_id,
                 outcome,
                 took,
@@ -73,22 +75,22 @@
                 load,
             )
         )
-        self.close_if_over(request)
+        self.close_if_finished(request)
 
-    def close_if_over(self, request: OpenRequest) -> None:
+    def close_if_finished(self, request: ActiveRequest) -> None:
         """Forgets a request that is answered and has nothing out any more."""
         if request.answered and all(attempt.ended for attempt in request.attempts):
-            if request.backstop is not None:
-                request.backstop.off()
-            self.check.closed(request)
-            self._admit.leave(request)
+            if request.backstop_timer is not None:
+                request.backstop_timer.cancel()
+            self.invariants.check_closed(request)
+            self._admission.release(request)
 
-    def waited(self, time: float) -> None:
+    def record_queue_time(self, time: float) -> None:
         """A request has waited so long for its decision."""
-        self._waited = max(self._waited, time)
+        self._max_queue_time = max(self._max_queue_time, time)
 
-    def line(self, **more: object) -> None:
+    def log_statistics(self, **more: object) -> None:
         """Writes what was counted since the last line."""
-        log("stats", **more, waited=self._waited, **dict(sorted(self.counts.items())))
+        log("stats", **more, waited=self._max_queue_time, **dict(sorted(self.counts.items())))
         self.counts.clear()
-        self._waited = 0.0
+        self._max_queue_time = 0.0
--- a/edge_router/proxy/fastcgi_frontend.py
+++ b/edge_router/proxy/fastcgi_frontend.py
@@ -7,11 +7,11 @@
 from edge_router.decision.settings import Settings
 from edge_router.protocol.fastcgi import COMPLETE
 from edge_router.proxy.exchange import BadRequestError, FinalResponse, ResponseStatus
-from edge_router.proxy.request_parser import Intake
-from edge_router.proxy.request_router import Route
-from edge_router.proxy.request_table import OpenRequest
-from edge_router.runtime.event_log import log_some
-from edge_router.transport.client_session import Session
+from edge_router.proxy.request_parser import RequestParser
+from edge_router.proxy.request_router import RequestRouter
+from edge_router.proxy.request_table import ActiveRequest
+from edge_router.runtime.event_log import log_rate_limited
+from edge_router.transport.client_session import ClientSession
 
 READY_PATH = "/status/live"
 _LINES = {
@@ -52,54 +52,58 @@
     return {field: value for name, value in params.items() if (field := _name(name))}
 
 
-class Front:
+class FastCgiFrontend:
     """Takes the requests of all client connections."""
 
-    def __init__(self, settings: Settings, route: Route) -> None:
-        self._intake = Intake(settings)
-        self._route = route
-        self._open: dict[tuple[Session, int], OpenRequest] = {}
+    def __init__(self, settings: Settings, route: RequestRouter) -> None:
+        self._parser = RequestParser(settings)
+        self._router = route
+        self._open: dict[tuple[ClientSession, int], ActiveRequest] = {}
         self.ready = False
 
-    def request(self, connection: Session, ident: int, params: dict[str, str], body: bytes, bad: str) -> bool:
+    def on_request(
+        self, connection: ClientSession, ident: int, params: dict[str, str], body: bytes, bad: str
+    ) -> bool:
         """A request has come in; says whether it could be taken."""
         path = params.get("SCRIPT_NAME", "") + params.get("PATH_INFO", "")
         if path == READY_PATH and not bad:
-            connection.answer(ident, _head("200 OK" if self.ready else "503 Service Unavailable"), b"")
+            connection.send_response(ident, _head("200 OK" if self.ready else "503 Service Unavailable"), b"")
             return True
         try:
             if bad:
                 raise BadRequestError(413 if "too long" in bad else 408 if "in time" in bad else 400, bad)
             if params.get("CONTENT_LENGTH", "") not in ("", str(len(body))):
                 raise BadRequestError(400, "CONTENT_LENGTH is not that of the body")
-            asked = self._intake.take(path, fields_of(params), body, partial(self._reply, connection, ident))
-            asked.time_unread, asked.poll_client = connection.unread_for, connection.look
-            if self._route.requests.waits(asked.request_id):
+            asked = self._parser.parse(path, fields_of(params), body, partial(self._reply, connection, ident))
+            asked.time_unread, asked.poll_client = connection.time_unread, connection.poll_input
+            if self._router.requests.is_unanswered(asked.request_id):
                 raise BadRequestError(400, "X-Txn is that of an open request")
         except BadRequestError as error:
-            log_some("bad-request", status=error.status, why=str(error))
-            connection.answer(ident, _head(f"{error.status} {_REASONS[error.status]}", Content_Length=0), b"")
+            log_rate_limited("bad-request", status=error.status, why=str(error))
+            connection.send_response(
+                ident, _head(f"{error.status} {_REASONS[error.status]}", Content_Length=0), b""
+            )
             return False
-        request = self._route.asked(asked)
+        request = self._router.on_request(asked)
         if request is not None and not request.answered:
             self._open[connection, ident] = request
         return True
 
-    def _reply(self, connection: Session, ident: int, answer: FinalResponse) -> None:
+    def _reply(self, connection: ClientSession, ident: int, answer: FinalResponse) -> None:
         self._open.pop((connection, ident), None)
-        connection.answer(ident, head_of(answer), answer.body)
+        connection.send_response(ident, head_of(answer), answer.body)
 
-    def aborted(self, connection: Session, ident: int) -> None:
+    def on_aborted(self, connection: ClientSession, ident: int) -> None:
         """The client no longer waits: its id is free again once the end is written."""
         request = self._open.pop((connection, ident), None)
         if request is not None:
-            self._route.left(request)
-            connection.end(ident, COMPLETE)
+            self._router.on_client_disconnected(request)
+            connection.end_request(ident, COMPLETE)
 
-    def gone(self, connection: Session, ident: int) -> None:
+    def on_disconnected(self, connection: ClientSession, ident: int) -> None:
         """The client sends no more. Nothing new goes out for it; if it still reads, it is owed an answer."""
         request = self._open.pop((connection, ident), None)
         if request is not None:
-            answer = self._route.undecided_answer(request)
-            self._route.left(request)
-            connection.answer(ident, head_of(answer), answer.body)
+            answer = self._router.response_without_decision(request)
+            self._router.on_client_disconnected(request)
+            connection.send_response(ident, head_of(answer), answer.body)
--- a/edge_router/proxy/request_parser.py
+++ b/edge_router/proxy/request_parser.py
@@ -46,7 +46,7 @@
     return bare if _TAG.fullmatch(bare) else ""
 
 
-class Intake:
+class RequestParser:
     """Checks requests against the settings."""
 
     def __init__(self, settings: Settings) -> None:
@@ -55,7 +55,7 @@
             place for place, cls in enumerate(settings.classes) if cls.idempotency is Idempotency.WITH_KEY
         }
 
-    def take(
+    def parse(
         self, path: str, fields: Mapping[str, str], body: bytes, reply: Callable[[FinalResponse], None]
     ) -> IncomingRequest:
         """The request that these fields make; raises BadRequestError."""
--- a/edge_router/proxy/request_router.py
+++ b/edge_router/proxy/request_router.py
@@ -26,29 +26,29 @@
     TimerFired,
     UpdateKind,
 )
-from edge_router.decision.policy import PURGE_MARGIN, Director
+from edge_router.decision.policy import PURGE_MARGIN, RoutingPolicy
 from edge_router.decision.settings import Settings
-from edge_router.discovery.endpoint_table import NodeTable
+from edge_router.discovery.endpoint_table import EndpointTable
 from edge_router.discovery.events import DiscoveryEvent, EndpointsChanged, ObjectPurged
-from edge_router.discovery.purge_history import ToldPurges
-from edge_router.proxy.accounting import Book
-from edge_router.proxy.admission import Admit
-from edge_router.proxy.dispatch import Connect, Send
+from edge_router.discovery.purge_history import PurgeHistory
+from edge_router.proxy.accounting import RequestAccounting
+from edge_router.proxy.admission import AdmissionController
+from edge_router.proxy.dispatch import AttemptDispatcher, Connect
 from edge_router.proxy.exchange import FinalResponse, IncomingRequest, ResponseStatus
-from edge_router.proxy.request_table import Attempt, OpenRequest, OpenRequests
-from edge_router.proxy.response_handler import Relay
+from edge_router.proxy.request_table import ActiveRequest, Attempt, RequestTable
+from edge_router.proxy.response_handler import ResponseHandler
 from edge_router.runtime.clock import Clock
-from edge_router.runtime.event_log import log, log_some
-from edge_router.runtime.memory_budget import Budget
-from edge_router.runtime.peer_clock import PeerTime
-from edge_router.runtime.timers import Timers, nobody
+from edge_router.runtime.event_log import log, log_rate_limited
+from edge_router.runtime.memory_budget import MemoryBudget
+from edge_router.runtime.peer_clock import PeerClock
+from edge_router.runtime.timers import Timers, no_wakeup
 
 BATCH = 8  # requests that are decided between two looks at the sockets
 SAID_FOR = 1000.0  # ms within which the module's words are not repeated
 BACKSTOP = 20.0  # ms after a request's deadline at which it is answered even if nobody decided
 
 
-class Route:
+class RequestRouter:
     """The core: it never waits, and nothing in here knows how a front speaks."""
 
     def __init__(
@@ -57,27 +57,31 @@
         seed: int,
         clock: Clock,
         timers: Timers,
-        budget: Budget,
+        budget: MemoryBudget,
         pace: float,
         connect: Connect,
-        wake: Callable[[], None] = nobody,
+        wake: Callable[[], None] = no_wakeup,
     ) -> None:
         """`connect` opens connections to caches; `wake` is called when a request waits to be decided."""
         self._settings = settings
         self._clock, self._timers = clock, timers
-        self._director = Director(settings, seed)
+        self._policy = RoutingPolicy(settings, seed)
         self._events: deque[Event] = deque()
         self._busy = False
-        self.nodes = NodeTable()
-        self.requests = OpenRequests()
-        self.admit = Admit(settings, self.requests, budget, pace, seed)
-        self._undecided: deque[tuple[float, OpenRequest]] = deque()  # with the time at which each came
+        self.endpoints = EndpointTable()
+        self.requests = RequestTable()
+        self.admission = AdmissionController(settings, self.requests, budget, pace, seed)
+        self._undecided: deque[tuple[float, ActiveRequest]] = deque()  # with the time at which each came
         self._wake = wake
-        self.book = Book(settings, clock, self.admit, self.post)
-        self.peer_time = PeerTime(clock)
-        self.purges = ToldPurges(settings.purge_settle_time * PURGE_MARGIN + settings.purge_notice_time)
-        self.relay = Relay(settings, self.book, clock, self.peer_time, self.purges)
-        self.send = Send(clock, timers, self.nodes, settings, self.book, self.relay, connect)
+        self.accounting = RequestAccounting(settings, clock, self.admission, self.post)
+        self.peer_clock = PeerClock(clock)
+        self.purges = PurgeHistory(settings.purge_settle_time * PURGE_MARGIN + settings.purge_notice_time)
+        self.response_handler = ResponseHandler(
+            settings, self.accounting, clock, self.peer_clock, self.purges
+        )
+        self.dispatcher = AttemptDispatcher(
+            clock, timers, self.endpoints, settings, self.accounting, self.response_handler, connect
+        )
         self._carry: dict[type, Callable[[Any], None]] = {
             StartAttempt: self._get,
             CancelAttempt: self._cancel,
@@ -90,21 +94,23 @@
 
     # -- what comes in --
 
-    def asked(self, asked: IncomingRequest) -> OpenRequest | None:
+    def on_request(self, asked: IncomingRequest) -> ActiveRequest | None:
         """A request was taken in; None if it was refused at the door."""
         now = self._clock.now()
-        request = self.admit.enter(now, asked)
+        request = self.admission.admit(now, asked)
         if request is None:
             over = asked.time_unread >= asked.timeout
-            self.book.counts["refused_over" if over else "no_room"] += 1
-            asked.respond(FinalResponse(ResponseStatus.REJECTED, retry_after=self.admit.pause()))
+            self.accounting.counts["refused_over" if over else "no_room"] += 1
+            asked.respond(FinalResponse(ResponseStatus.REJECTED, retry_after=self.admission.retry_after()))
             return None
-        request.backstop = self._timers.at(request.deadline + BACKSTOP, partial(self._backstop, request))
+        request.backstop_timer = self._timers.call_at(
+            request.deadline + BACKSTOP, partial(self._backstop, request)
+        )
         self._undecided.append((now, request))
         self._wake()
         return request
 
-    def decide(self) -> bool:
+    def run_decisions(self) -> bool:
         """Hands some requests to the module; says whether more are waiting. In between, sockets are read.
 
         Guards against a burst that keeps answers from being passed on. How long a request has waited here
@@ -116,17 +122,19 @@
                 self._decide(came, request)
         return bool(self._undecided)
 
-    def _decide(self, came: float, request: OpenRequest) -> None:
-        now, asked = self._clock.now(), request.asked
-        self.book.waited(now - came)
-        if why := self.admit.too_much(now, came, asked.class_index):
-            self.book.counts[f"shed_{why}"] += 1
-            log_some("refused", req=asked.request_id, why=f"shed_{why}", waited=now - came)
-            self.relay.answer(request, FinalResponse(ResponseStatus.REJECTED, retry_after=self.admit.pause()))
+    def _decide(self, came: float, request: ActiveRequest) -> None:
+        now, asked = self._clock.now(), request.incoming
+        self.accounting.record_queue_time(now - came)
+        if why := self.admission.shed_reason(now, came, asked.class_index):
+            self.accounting.counts[f"shed_{why}"] += 1
+            log_rate_limited("refused", req=asked.request_id, why=f"shed_{why}", waited=now - came)
+            self.response_handler.respond(
+                request, FinalResponse(ResponseStatus.REJECTED, retry_after=self.admission.retry_after())
+            )
         else:
             self.post(
                 RequestReceived(
-                    request.req,
+                    request.request_number,
                     asked.class_index,
                     asked.object_key,
                     request.deadline - now,
@@ -136,30 +144,30 @@
                 )
             )
 
-    def left(self, request: OpenRequest) -> None:
+    def on_client_disconnected(self, request: ActiveRequest) -> None:
         """The client of an open request has gone."""
         if not request.answered:
-            self.relay.left(request)
-            self.post(ClientDisconnected(request.req))
+            self.response_handler.client_disconnected(request)
+            self.post(ClientDisconnected(request.request_number))
             for attempt in list(request.attempts):
-                if not attempt.written_at:
-                    self.send.may_go(attempt)
+                if not attempt.sent_at:
+                    self.dispatcher.check_sendable(attempt)
 
-    def undecided_answer(self, request: OpenRequest) -> FinalResponse:
+    def response_without_decision(self, request: ActiveRequest) -> FinalResponse:
         """The final answer to a request that ends without a decision: refused if that is surely harmless."""
         may_have_run = any(attempt.may_have_run() for attempt in request.attempts)
-        if rules.may_refuse(self._settings.classes[request.asked.class_index], may_have_run):
-            return FinalResponse(ResponseStatus.REJECTED, retry_after=self.admit.pause())
+        if rules.may_refuse(self._settings.classes[request.incoming.class_index], may_have_run):
+            return FinalResponse(ResponseStatus.REJECTED, retry_after=self.admission.retry_after())
         return FinalResponse(ResponseStatus.FAILED)
 
     def on_discovery_event(self, event: DiscoveryEvent) -> None:
         """News of nodes or a purge. What waits to be written is looked at again, once the module knows."""
-        waiting = self.requests.waiting()
+        waiting = self.requests.unsent_attempts()
         if isinstance(event, ObjectPurged):
             self._purged(event)
             for attempt in waiting:
-                asked = attempt.request.asked
-                attempt.outdated |= (
+                asked = attempt.request.incoming
+                attempt.purged |= (
                     asked.object_key == event.object_key
                     if event.object_key
                     else asked.purge_group == event.purge_group
@@ -167,15 +175,15 @@
         else:
             self._listed(event)
         for attempt in waiting:
-            self.send.may_go(attempt)
+            self.dispatcher.check_sendable(attempt)
 
     def _purged(self, event: ObjectPurged) -> None:
-        self.peer_time.happened(event.unix_time)
+        self.peer_clock.observe_event(event.unix_time)
         now = self._clock.now()
-        self.purges.add(now, event.object_key, event.purge_group, event.unix_time)
+        self.purges.record(now, event.object_key, event.purge_group, event.unix_time)
         self.post(
             PurgeReceived(
-                max(0.0, now - self.peer_time.local(event.unix_time)), event.purge_group, event.object_key
+                max(0.0, now - self.peer_clock.to_local(event.unix_time)), event.purge_group, event.object_key
             )
         )
 
@@ -183,13 +191,13 @@
         members = tuple(
             member._replace(endpoint=self._with_local_start(member.endpoint)) for member in event.endpoints
         )
-        self.nodes.apply(EndpointsChanged(event.complete, members))
+        self.endpoints.apply(EndpointsChanged(event.complete, members))
         form = UpdateKind.FULL if event.complete else UpdateKind.DELTA
         self.post(EndpointListUpdate(form, tuple(member.endpoint for member in members)))
         for member in members:
             node = member.endpoint
             if node.started_at > 0:
-                self.send.started(node.endpoint_id, node.started_at)
+                self.dispatcher.on_endpoint_restarted(node.endpoint_id, node.started_at)
             log(
                 "node",
                 id=f"s-{node.endpoint_id:08x}",
@@ -199,21 +207,21 @@
                 started=f"{node.started_at:.0f}",
                 at=f"{member.host}:{member.port}",
             )
-        self.send.gone()
+        self.dispatcher.close_removed_endpoints()
 
     def _with_local_start(self, node: Endpoint) -> Endpoint:
         """The entry with the moment of its start by our clock, translated once; not later than the news."""
         if node.started_at <= 0:
             return node
-        if (started := self.nodes.local_start(node.endpoint_id, node.started_at)) is None:
-            self.peer_time.happened(node.started_at)
-            started = max(1.0, min(self.peer_time.local(node.started_at), self._clock.now()))
-            self.nodes.note_start(node.endpoint_id, node.started_at, started)
+        if (started := self.endpoints.local_start_time(node.endpoint_id, node.started_at)) is None:
+            self.peer_clock.observe_event(node.started_at)
+            started = max(1.0, min(self.peer_clock.to_local(node.started_at), self._clock.now()))
+            self.endpoints.record_start(node.endpoint_id, node.started_at, started)
         return node._replace(started_at=started)
 
-    def figures(self) -> dict[str, float]:
+    def statistics(self) -> dict[str, float]:
         """What the decisions rest on, for the operators."""
-        return self._director.figures(self._clock.now())
+        return self._policy.statistics(self._clock.now())
 
     def post(self, event: Event) -> None:
         """Queues an event and, unless that is going on already, works the queue off."""
@@ -230,14 +238,14 @@
     def _one(self, event: Event) -> None:
         """Guards against a slip in one decision that ends the process or leaves a request unanswered."""
         try:
-            for action in self._director.handle(self._clock.now(), event):
+            for action in self._policy.handle(self._clock.now(), event):
                 if carry := self._carry.get(type(action)):
                     carry(action)
         except Exception as error:
             where = traceback.extract_tb(error.__traceback__)[-1]
             log("bug", where=f"{where.filename.rpartition('/')[2]}:{where.lineno}", error=repr(error))
             if isinstance(event, RequestReceived) and (request := self.requests.get(event.request_number)):
-                self._fail(Fail(request.req))
+                self._fail(Fail(request.request_number))
 
     # -- what is to be done --
 
@@ -249,29 +257,33 @@
         attempt = Attempt(request, len(request.attempts), act._replace(deadline=cut_at), self._clock.now())
         request.attempts.append(attempt)
         if request.expired:
-            self.book.ended(attempt, Outcome.NOT_SENT)
+            self.accounting.attempt_ended(attempt, Outcome.NOT_SENT)
         else:
-            self.send.order(attempt)
+            self.dispatcher.dispatch(attempt)
 
     def _cancel(self, act: CancelAttempt) -> None:
         request = self.requests.get(act.request_number)
         if request is not None and act.attempt_index < len(request.attempts):
             attempt = request.attempts[act.attempt_index]
             if not attempt.ended:
-                self.send.cancel(attempt)
+                self.dispatcher.cancel(attempt)
 
     def _refuse(self, act: Reject) -> None:
         if request := self.requests.get(act.request_number):
-            self.book.counts[f"refused_{act.reason}"] += 1
-            log_some("refused", req=request.asked.request_id, why=act.reason, attempts=len(request.attempts))
-            self.relay.answer(request, FinalResponse(ResponseStatus.REJECTED, retry_after=act.retry_after))
+            self.accounting.counts[f"refused_{act.reason}"] += 1
+            log_rate_limited(
+                "refused", req=request.incoming.request_id, why=act.reason, attempts=len(request.attempts)
+            )
+            self.response_handler.respond(
+                request, FinalResponse(ResponseStatus.REJECTED, retry_after=act.retry_after)
+            )
 
     def _fail(self, act: Fail) -> None:
         if request := self.requests.get(act.request_number):
-            self.relay.answer(request, FinalResponse(ResponseStatus.FAILED))
+            self.response_handler.respond(request, FinalResponse(ResponseStatus.FAILED))
 
     def _timer(self, act: SetTimer) -> None:
-        self._timers.at(act.fire_at, partial(self.post, TimerFired(act.token)))
+        self._timers.call_at(act.fire_at, partial(self.post, TimerFired(act.token)))
 
     def _log(self, act: LogMessage) -> None:
         """Guards against a log full of one line: the same text comes once a second at most."""
@@ -283,26 +295,28 @@
 
     # -- ends --
 
-    def _backstop(self, request: OpenRequest) -> None:
+    def _backstop(self, request: ActiveRequest) -> None:
         """Guards against a request that nobody answers."""
         if not request.answered:
             if request.attempts:
-                log("backstop", req=request.asked.request_id)
+                log("backstop", req=request.incoming.request_id)
             else:
-                self.book.counts["refused_over"] += 1
-                log_some("refused", req=request.asked.request_id, why="its time was over before its decision")
-            self.relay.answer(request, self.undecided_answer(request))
-            self.post(ClientDisconnected(request.req))
+                self.accounting.counts["refused_over"] += 1
+                log_rate_limited(
+                    "refused", req=request.incoming.request_id, why="its time was over before its decision"
+                )
+            self.response_handler.respond(request, self.response_without_decision(request))
+            self.post(ClientDisconnected(request.request_number))
         for attempt in request.attempts:
             if not attempt.ended:
-                self.send.cancel(attempt)
+                self.dispatcher.cancel(attempt)
 
-    def expire(self) -> None:
+    def expire_all(self) -> None:
         """The router is about to stop: the time of all that is open is over, and the module is told so."""
         for request in self.requests:
             request.expired = True
             for attempt in list(request.attempts):
                 if not attempt.ended:
-                    self.send.late(attempt)
+                    self.dispatcher.on_attempt_timeout(attempt)
             if not request.answered:
                 self._backstop(request)
--- a/edge_router/proxy/response_handler.py
+++ b/edge_router/proxy/response_handler.py
@@ -7,13 +7,13 @@
 
 from edge_router.decision.messages import FillResult, Outcome
 from edge_router.decision.settings import ClassSettings, Settings
-from edge_router.discovery.purge_history import ToldPurges
-from edge_router.proxy.accounting import Book
+from edge_router.discovery.purge_history import PurgeHistory
+from edge_router.proxy.accounting import RequestAccounting
 from edge_router.proxy.exchange import FinalResponse, ResponseStatus
-from edge_router.proxy.request_table import Attempt, OpenRequest
+from edge_router.proxy.request_table import ActiveRequest, Attempt
 from edge_router.runtime.clock import Clock
-from edge_router.runtime.event_log import log_some
-from edge_router.runtime.peer_clock import PeerTime
+from edge_router.runtime.event_log import log_rate_limited
+from edge_router.runtime.peer_clock import PeerClock
 
 SLACK = 50.0  # ms by which a copy may seem older than was asked for
 
@@ -43,10 +43,10 @@
 }
 
 
-class Reply(NamedTuple):
+class CacheResponse(NamedTuple):
     """A cache's answer to one attempt."""
 
-    word: str
+    status: str
     fields: dict[str, str]
     body: bytes
 
@@ -56,70 +56,75 @@
     return float(text) if _FIGURE.fullmatch(text) else None
 
 
-class Relay:
+class ResponseHandler:
     """The way back to the client."""
 
     def __init__(
-        self, settings: Settings, book: Book, clock: Clock, peer_time: PeerTime, purges: ToldPurges
+        self,
+        settings: Settings,
+        book: RequestAccounting,
+        clock: Clock,
+        peer_time: PeerClock,
+        purges: PurgeHistory,
     ) -> None:
         self._settings = settings
-        self._book = book
+        self._accounting = book
         self._clock = clock
-        self._peer_time = peer_time
+        self._peer_clock = peer_time
         self._purges = purges
 
-    def answer(self, request: OpenRequest, answer: FinalResponse) -> None:
+    def respond(self, request: ActiveRequest, answer: FinalResponse) -> None:
         """The final answer; only the first counts."""
         if request.answered:
             return
-        self._book.check.answered(request, answer.status, self._clock.now())
+        self._accounting.invariants.check_response(request, answer.status, self._clock.now())
         request.answered = True
-        self._book.counts[answer.status.value] += 1
-        request.asked.respond(answer)
-        self._book.close_if_over(request)
+        self._accounting.counts[answer.status.value] += 1
+        request.incoming.respond(answer)
+        self._accounting.close_if_finished(request)
 
-    def left(self, request: OpenRequest) -> None:
+    def client_disconnected(self, request: ActiveRequest) -> None:
         """The client has gone: no answer is owed."""
         request.answered = True
-        self._book.counts["left"] += 1
-        self._book.close_if_over(request)
+        self._accounting.counts["left"] += 1
+        self._accounting.close_if_finished(request)
 
-    def spoilt(self, attempt: Attempt, reply: Reply) -> str:
+    def validate_response(self, attempt: Attempt, reply: CacheResponse) -> str:
         """Why an answer can't be what a cache says; empty if it may be.
 
         Guards against passing on noise as served, or taking it for the word that nothing ran.
         """
-        if reply.word not in OUTCOMES:
-            return f"an answer of the word {reply.word[:20]!r}"
-        if OUTCOMES[reply.word] is not Outcome.OK:
+        if reply.status not in OUTCOMES:
+            return f"an answer of the word {reply.status[:20]!r}"
+        if OUTCOMES[reply.status] is not Outcome.OK:
             return "an error with bytes" if reply.body else ""
         if len(reply.body) > MOST_BODY:
             return f"an answer of {len(reply.body)} bytes"
-        kept = not self._settings.classes[attempt.request.asked.class_index].uncacheable
+        kept = not self._settings.classes[attempt.request.incoming.class_index].uncacheable
         tag, born = (reply.fields.get(name, "") for name in ("ver", "born"))
         if kept and not (_TAG.fullmatch(tag) and _number(born)):
             return "a copy without a tag or an age"
         return ""
 
-    def arrived(self, attempt: Attempt, reply: Reply) -> None:
+    def on_response(self, attempt: Attempt, reply: CacheResponse) -> None:
         """A cache has answered an attempt that is out."""
-        outcome = OUTCOMES[reply.word]
+        outcome = OUTCOMES[reply.status]
         note = _NOTES.get(reply.fields.get("tell", ""), FillResult.NONE)
         born = _number(reply.fields.get("born", ""))
         if outcome is Outcome.OK and note is FillResult.FILLED_BY_ORIGIN and born:
-            self._peer_time.given_out(born, attempt.written_at, self._clock.now())
+            self._peer_clock.observe_copy(born, attempt.sent_at, self._clock.now())
         if outcome is Outcome.OK and (wrong := self._wrong(attempt, reply)):
-            log_some(
+            log_rate_limited(
                 "bad-copy",
-                req=attempt.request.asked.request_id,
-                node=f"s-{attempt.order.endpoint_id:08x}",
+                req=attempt.request.incoming.request_id,
+                node=f"s-{attempt.instruction.endpoint_id:08x}",
                 why=wrong,
             )
             outcome = Outcome.ERROR
         if outcome is Outcome.OK:
-            verdict = ResponseStatus.NOT_MODIFIED if reply.word == "304" else ResponseStatus.SERVED
-            self.answer(attempt.request, FinalResponse(verdict, reply.body, reply.fields.get("ver", "")))
-        self._book.ended(
+            verdict = ResponseStatus.NOT_MODIFIED if reply.status == "304" else ResponseStatus.SERVED
+            self.respond(attempt.request, FinalResponse(verdict, reply.body, reply.fields.get("ver", "")))
+        self._accounting.attempt_ended(
             attempt,
             outcome,
             int(note),
@@ -127,26 +132,26 @@
             self._load(reply.fields.get("meter", "")),
         )
 
-    def _wrong(self, attempt: Attempt, reply: Reply) -> str:
+    def _wrong(self, attempt: Attempt, reply: CacheResponse) -> str:
         """What is wrong with an answer that says ok. Guards against passing on a copy that won't do."""
-        asked = attempt.request.asked
+        asked = attempt.request.incoming
         cls = self._settings.classes[asked.class_index]
-        if reply.word == "304" and (not asked.client_etag or reply.fields.get("ver") != asked.client_etag):
+        if reply.status == "304" and (not asked.client_etag or reply.fields.get("ver") != asked.client_etag):
             return "unchanged, but not the client's copy"
-        if reply.word == "304" and reply.body:
+        if reply.status == "304" and reply.body:
             return "unchanged, but with bytes"
         if cls.uncacheable:
             return ""
         born = _number(reply.fields.get("born", "")) or 0.0
-        if born < self._purges.newest(asked.object_key, asked.purge_group, attempt.written_at):
+        if born < self._purges.newest_purge_time(asked.object_key, asked.purge_group, attempt.sent_at):
             return "older than a purge"
-        oldest, age = self._oldest(cls, attempt), attempt.written_at - self._peer_time.local(born)
+        oldest, age = self._oldest(cls, attempt), attempt.sent_at - self._peer_clock.to_local(born)
         return f"{age:.0f} ms old, asked for {oldest:.0f}" if oldest and age > oldest + SLACK else ""
 
     @staticmethod
     def _oldest(cls: ClassSettings, attempt: Attempt) -> float:
         """The age that was asked for; 0: any."""
-        return attempt.order.max_age or cls.freshness_lifetime
+        return attempt.instruction.max_age or cls.freshness_lifetime
 
     def _load(self, meter: str) -> tuple[float, ...]:
         """The load report, in the order of the settings; empty without a whole one.
--- a/edge_router/runtime/clock.py
+++ b/edge_router/runtime/clock.py
@@ -37,14 +37,14 @@
     """What of our share of a core is left to use, against being stopped by the platform for using more."""
 
     def __init__(self) -> None:
-        self.share(1.0)
+        self.set_share(1.0)
 
-    def share(self, cores: float) -> None:
+    def set_share(self, cores: float) -> None:
         """So much of a core is ours from now on."""
         self._cores, self._credit = cores, 0.0
         self._wall, self._used = time.monotonic(), time.process_time()
 
-    def left(self) -> float:
+    def remaining(self) -> float:
         """Seconds of CPU saved up; below 0, too many were used. Nothing is said of a whole core."""
         if self._cores >= 1.0:
             return 0.0
--- a/edge_router/runtime/event_log.py
+++ b/edge_router/runtime/event_log.py
@@ -58,13 +58,13 @@
 _writer = LineWriter(STANDARD_ERROR)
 
 
-def divert(sink: Sink | None) -> None:
+def set_sink(sink: Sink | None) -> None:
     """Hands each line, as event and fields, to somebody else; None: to standard error again."""
     global _sink
     _sink = sink
 
 
-def log_some(event: str, **fields: object) -> None:
+def log_rate_limited(event: str, **fields: object) -> None:
     """A line of an event that a bad peer could fill the log with: a few a second, `more` tells how many."""
     second = int(time.monotonic())
     last, count = _told.get(event, (second, 0))
--- a/edge_router/runtime/memory_budget.py
+++ b/edge_router/runtime/memory_budget.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 
-class Budget:
+class MemoryBudget:
     """One count for the whole process. Guards against being killed for memory."""
 
     def __init__(self) -> None:
-        self.most = 0.0
+        self.limit = 0.0
         self._used = 0
 
     @property
@@ -15,14 +15,14 @@
         """How many bytes are held."""
         return self._used
 
-    def has(self, count: int) -> bool:
+    def can_reserve(self, count: int) -> bool:
         """Whether so many bytes more may be held."""
-        return self._used + count <= self.most
+        return self._used + count <= self.limit
 
-    def take(self, count: int) -> None:
+    def reserve(self, count: int) -> None:
         """So many bytes more are held."""
         self._used += count
 
-    def give(self, count: int) -> None:
+    def release(self, count: int) -> None:
         """So many bytes are held no more."""
         self._used -= count
--- a/edge_router/runtime/peer_clock.py
+++ b/edge_router/runtime/peer_clock.py
@@ -32,7 +32,7 @@
     received: float
 
 
-class PeerTime:
+class PeerClock:
     """The offset between the peers' Unix time and our clock, in milliseconds."""
 
     def __init__(self, clock: Clock) -> None:
@@ -41,17 +41,17 @@
         self._early: deque[_Early] = deque(maxlen=MANY)
         self._future: deque[float] = deque(maxlen=FEW)  # offsets that copies from the future allow
 
-    def local(self, unix: float) -> float:
+    def to_local(self, unix: float) -> float:
         """The moment of our clock at which the peers' clocks showed that Unix time (both in ms)."""
         return unix - self._offset
 
-    def happened(self, unix: float) -> None:
+    def observe_event(self, unix: float) -> None:
         """The change log told of something that happened at that Unix time (ms)."""
-        ahead = self.local(unix) - self._clock.now()
+        ahead = self.to_local(unix) - self._clock.now()
         if TOLERANCE < ahead < MOST_AHEAD:
             self._move(self._offset + ahead)
 
-    def given_out(self, unix: float, sent: float, received: float) -> None:
+    def observe_copy(self, unix: float, sent: float, received: float) -> None:
         """The origin gave a copy out at that Unix time, for an attempt sent and answered then (all in ms)."""
         least, most = unix - received, unix - sent
         wall = self._clock.wall_offset()
--- a/edge_router/runtime/system_errors.py
+++ b/edge_router/runtime/system_errors.py
@@ -4,10 +4,14 @@
 
 import errno
 
-NO_ROOM = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))  # accept(2), socket(2)
-NO_WAY_OUT = frozenset((errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENETDOWN, errno.EAGAIN))  # connect(2)
+RESOURCE_EXHAUSTED = frozenset(
+    (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+)  # accept(2), socket(2)
+LOCAL_NETWORK_FAILURE = frozenset(
+    (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENETDOWN, errno.EAGAIN)
+)  # connect(2)
 
 
-def is_local(error: OSError) -> bool:
+def is_local_shortage(error: OSError) -> bool:
     """Whether the call failed for a lack on our side, so that it may succeed by and by."""
-    return error.errno in NO_ROOM or error.errno in NO_WAY_OUT
+    return error.errno in RESOURCE_EXHAUSTED or error.errno in LOCAL_NETWORK_FAILURE
--- a/edge_router/runtime/timers.py
+++ b/edge_router/runtime/timers.py
@@ -9,43 +9,47 @@
 from edge_router.runtime.clock import Clock
 from edge_router.runtime.event_log import log
 
-LATE = 0.02  # seconds by which an alarm is late if the process stood still; the loop's own grid is finer
-STILL_UNREAD = 0.2  # seconds after the process stood still for which what is read may have come meanwhile
+LATE_TIMER_TOLERANCE = (
+    0.02  # seconds by which an alarm is late if the process stood still; the loop's own grid is finer
+)
+STALL_MEMORY = 0.2  # seconds after the process stood still for which what is read may have come meanwhile
 
 
-def nobody() -> None:
+def no_wakeup() -> None:
     """Nobody waits, so nobody is woken."""
 
 
-class Alarm:
+class TimerHandle:
     """A call to be made at its time, unless called off."""
 
-    __slots__ = ("call",)
+    __slots__ = ("callback",)
 
     def __init__(self, call: Callable[[], None]) -> None:
-        self.call: Callable[[], None] | None = call
+        self.callback: Callable[[], None] | None = call
 
-    def off(self) -> None:
+    def cancel(self) -> None:
         """Calls it off."""
-        self.call = None
+        self.callback = None
 
 
 class Timers:
     """All alarms, in the order of their times; they run with real time, whatever the wall clock does."""
 
-    def __init__(self, clock: Clock, steady: Callable[[], float], wake: Callable[[], None] = nobody) -> None:
+    def __init__(
+        self, clock: Clock, steady: Callable[[], float], wake: Callable[[], None] = no_wakeup
+    ) -> None:
         """`steady` tells seconds that nobody sets; `wake` is called when an earlier alarm than all is set."""
         self._clock = clock
         self._steady = steady
         self._wake = wake
-        self._heap: list[tuple[float, int, Alarm]] = []
+        self._heap: list[tuple[float, int, TimerHandle]] = []
         self._count = 0
         self._ran = steady()  # when alarms were looked at last
         self._stall = (0.0, -math.inf)  # since when the process may have stood still, and when that was seen
 
-    def at(self, moment: float, call: Callable[[], None]) -> Alarm:
+    def call_at(self, moment: float, call: Callable[[], None]) -> TimerHandle:
         """Has the call made at that Unix millisecond, never before this turn is over."""
-        alarm = Alarm(call)
+        alarm = TimerHandle(call)
         due = self._steady() + (moment - self._clock.now()) / 1000.0
         self._count += 1
         entry = (due, self._count, alarm)
@@ -56,31 +60,31 @@
 
     def next_due(self) -> float:
         """When the next alarm falls due, in seconds of the steady clock; infinite without one."""
-        while self._heap and self._heap[0][2].call is None:
+        while self._heap and self._heap[0][2].callback is None:
             heapq.heappop(self._heap)
         return self._heap[0][0] if self._heap else math.inf
 
     def run_due(self) -> None:
         """Makes the calls that have fallen due by now."""
         now = self._steady()
-        if now - self.next_due() > LATE:
+        if now - self.next_due() > LATE_TIMER_TOLERANCE:
             self._stall = self._ran, now
         self._ran = now
-        while self._heap and (self._heap[0][0] <= now or self._heap[0][2].call is None):
-            call = heapq.heappop(self._heap)[2].call
+        while self._heap and (self._heap[0][0] <= now or self._heap[0][2].callback is None):
+            call = heapq.heappop(self._heap)[2].callback
             if call is not None:
                 self._make(call)
 
-    def stood_still_for(self) -> float:
+    def stall_duration(self) -> float:
         """Milliseconds for which what is read now may have waited, since the process stood still or lagged.
 
         0 if it did neither: then alarms are made in time.
         """
         now = self._steady()
         since, seen = self._stall
-        if now - self.next_due() > LATE:
+        if now - self.next_due() > LATE_TIMER_TOLERANCE:
             since = self._ran
-        elif now - seen > STILL_UNREAD:
+        elif now - seen > STALL_MEMORY:
             return 0.0
         return (now - since) * 1000.0
 
--- a/edge_router/server/server.py
+++ b/edge_router/server/server.py
@@ -14,24 +14,24 @@
 
 import trio
 
-from edge_router.config.platform_file import Config, ConfigError
+from edge_router.config.platform_file import ConfigError, RouterConfig
 from edge_router.config.reload import Reloader
-from edge_router.discovery.change_log_watcher import ChangeLog
+from edge_router.discovery.change_log_watcher import ChangeLogWatcher
 from edge_router.proxy.dispatch import connection_limit
-from edge_router.proxy.fastcgi_frontend import Front
-from edge_router.proxy.request_router import Route
+from edge_router.proxy.fastcgi_frontend import FastCgiFrontend
+from edge_router.proxy.request_router import RequestRouter
 from edge_router.runtime.clock import Clock
-from edge_router.runtime.event_log import log, log_some
-from edge_router.runtime.memory_budget import Budget
-from edge_router.runtime.system_errors import NO_ROOM, is_local
+from edge_router.runtime.event_log import log, log_rate_limited
+from edge_router.runtime.memory_budget import MemoryBudget
+from edge_router.runtime.system_errors import RESOURCE_EXHAUSTED, is_local_shortage
 from edge_router.runtime.timers import Timers
 from edge_router.server.memory_gauge import MemoryGauge
 from edge_router.server.startup import load_config, open_listener, patiently
 from edge_router.server.supervisor import keep_running
-from edge_router.transport.client_connection import Connection as Client
+from edge_router.transport.client_connection import ClientConnection as Client
 from edge_router.transport.receive_age import age_at_accept
-from edge_router.transport.upstream_channel import Owner
-from edge_router.transport.upstream_connection import Connection
+from edge_router.transport.upstream_channel import ChannelOwner
+from edge_router.transport.upstream_connection import TrioUpstreamChannel
 
 GRID = 0.005  # seconds: alarms fall due in steps, for each waking costs as much as many calls
 GRACE = 0.8  # seconds after SIGTERM for which new connections and requests still come
@@ -55,7 +55,7 @@
 class Server:
     """One edge router."""
 
-    def __init__(self, config: Config, nursery: trio.Nursery) -> None:
+    def __init__(self, config: RouterConfig, nursery: trio.Nursery) -> None:
         self._config = config
         self._nursery = nursery
         self._clock = Clock()
@@ -64,20 +64,20 @@
         self._came = trio.Event()  # a request waits to be decided
         self._clients: set[Client] = set()
         self._accepting = trio.CancelScope()
-        self._budget = Budget()
-        self._route = Route(
+        self._budget = MemoryBudget()
+        self._route = RequestRouter(
             config.settings,
             config.seed,
             self._clock,
             self._timers,
             self._budget,
-            config.pace,
+            config.transfer_bandwidth,
             self._connect,
             self._wake_decide,
         )
         self._limit(config)
-        self._front = Front(config.settings, self._route)
-        self._changelog = ChangeLog(*config.changelog, config.last, config.seed)
+        self._front = FastCgiFrontend(config.settings, self._route)
+        self._changelog = ChangeLogWatcher(*config.change_log_address, config.last_sequence, config.seed)
         self._memory = MemoryGauge()
         self._reloader = Reloader(self._take_over)
         self._stopping = False
@@ -85,8 +85,8 @@
         longest = max(cls.deadline for cls in config.settings.classes) / 1000.0
         self._last_answer = min(longest, LONGEST_COUNTED) + KILL_AFTER - KILL_MARGIN  # seconds after SIGTERM
 
-    def _connect(self, owner: Owner, address: tuple[str, int], patience: float) -> Connection:
-        connection = Connection(owner, address, patience, self._clock.now)
+    def _connect(self, owner: ChannelOwner, address: tuple[str, int], patience: float) -> TrioUpstreamChannel:
+        connection = TrioUpstreamChannel(owner, address, patience, self._clock.now)
         self._spawn(connection.run)
         return connection
 
@@ -108,7 +108,7 @@
     async def _decide(self) -> None:
         """Has requests decided, some at a time; in between, sockets are read and ends are booked."""
         while True:
-            if not self._route.decide():
+            if not self._route.run_decisions():
                 self._came = trio.Event()
                 await self._came.wait()
             else:
@@ -127,7 +127,7 @@
 
     async def run(self, listener: socket.socket) -> None:
         """Serves until SIGTERM, and then finishes what was taken; reads its configuration anew on SIGHUP."""
-        for event in self._config.known:
+        for event in self._config.initial_events:
             self._route.on_discovery_event(event)
         with trio.open_signal_receiver(*SIGNALS) as signals:
             signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)  # those that came during the start come now
@@ -145,8 +145,8 @@
             log(
                 "ready",
                 name=self._config.name,
-                listen=":".join(map(str, self._config.listen)),
-                nodes=len(self._route.nodes),
+                listen=":".join(map(str, self._config.listen_address)),
+                nodes=len(self._route.endpoints),
             )
             async for number in signals:
                 self._signalled(signal.Signals(number), listener)
@@ -169,7 +169,7 @@
         signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # their default effect would be back on the way out
         self._nursery.cancel_scope.cancel()
 
-    def _take_over(self, config: Config) -> None:
+    def _take_over(self, config: RouterConfig) -> None:
         """Takes over from a new configuration what can change while requests go on.
 
         The whole file was checked before: guards against half a new configuration, against ending over a bad
@@ -184,27 +184,27 @@
         ]
         log(
             "reloaded",
-            changelog=":".join(map(str, config.changelog)),
-            sockets=config.sockets,
+            changelog=":".join(map(str, config.change_log_address)),
+            sockets=config.max_sockets,
             memory_mb=config.memory_mb,
-            cores=config.cores,
+            cores=config.cpu_cores,
             waits_for_restart=",".join(fixed) or "nothing",
         )
         self._limit(config)
-        self._changelog.move(*config.changelog)
+        self._changelog.set_address(*config.change_log_address)
 
-    def _limit(self, config: Config) -> None:
+    def _limit(self, config: RouterConfig) -> None:
         """Shares the limits out."""
-        self._most_clients = max(8, config.sockets // 2)
-        self._budget.most = config.memory_mb * MEMORY_SHARE * 1e6
-        self._route.send.most_links = connection_limit(config.sockets)
-        self._route.admit.cpu.share(config.cores)
+        self._most_clients = max(8, config.max_sockets // 2)
+        self._budget.limit = config.memory_mb * MEMORY_SHARE * 1e6
+        self._route.dispatcher.max_connections = connection_limit(config.max_sockets)
+        self._route.admission.cpu_credit.set_share(config.cpu_cores)
 
     async def _drain(self, listener: socket.socket) -> None:
         """Goes on accepting for the grace, finishes what was taken, and ends well before SIGKILL."""
         end = self._stop_by
         self._front.ready = False
-        self._route.admit.latest = self._clock.now() + (end - trio.current_time()) * 1000.0
+        self._route.admission.answer_by = self._clock.now() + (end - trio.current_time()) * 1000.0
         await trio.sleep_until(end - self._last_answer + min(GRACE, self._last_answer))
         # Guards against requests that are lost with their connections, as those wait to be accepted.
         while trio.current_time() < end and _waits_to_be_accepted(listener):
@@ -215,7 +215,7 @@
         listener.close()
         while trio.current_time() < end and not self._over():
             await trio.sleep(0.01)
-        self._route.expire()
+        self._route.expire_all()
         with trio.move_on_after(LAST_WRITE):
             while not self._over():
                 await trio.sleep(0.01)
@@ -233,15 +233,15 @@
             except BlockingIOError:
                 return
             except OSError as error:
-                log_some("accept-failed", why=error.strerror, clients=len(self._clients))
+                log_rate_limited("accept-failed", why=error.strerror, clients=len(self._clients))
                 if trio.current_time() >= end:
                     return
-                await trio.sleep(0.01 if is_local(error) else 0)
+                await trio.sleep(0.01 if is_local_shortage(error) else 0)
 
     def _over(self) -> bool:
         """Whether nobody is left; clients that rest are told to go, with a half-close."""
         for client in list(self._clients):
-            client.retire("stopping")
+            client.close_if_idle("stopping")
         return not self._clients and all(request.answered for request in self._route.requests)
 
     async def _stats(self) -> None:
@@ -249,21 +249,21 @@
             before, due = time.process_time(), trio.current_time() + STATS_EVERY
             await trio.sleep(STATS_EVERY)
             late = (trio.current_time() - due) * 1000.0
-            self._route.book.line(
+            self._route.accounting.log_statistics(
                 open=len(self._route.requests),
                 clients=len(self._clients),
-                links=self._route.send.links(),
+                links=self._route.dispatcher.connection_count(),
                 late=late,
                 held_kb=self._budget.used / 1e3,
                 resident_mb=self._memory.resident_mb(),
                 collections=gc.get_stats()[2]["collections"],
                 cpu_ms=(time.process_time() - before) * 1000.0,
-                **self._route.figures(),
+                **self._route.statistics(),
             )
             limit = self._clock.now() - CLIENT_IDLE
             for client in list(self._clients):
-                if client.idle() and client.last_used <= limit:
-                    client.retire("idle for long")
+                if client.is_idle() and client.last_used <= limit:
+                    client.close_if_idle("idle for long")
 
     async def _check(self) -> None:
         """Looks at what clients are sending, now and then."""
@@ -272,7 +272,7 @@
             await trio.sleep_until(due)
             if trio.current_time() < due + LAG:
                 for client in list(self._clients):
-                    client.check(self._clock.now())
+                    client.check_timeouts(self._clock.now())
 
     def _make_room(self) -> bool:
         """Ends clients that say nothing, else those idle for longest; says whether there were any.
@@ -281,19 +281,19 @@
         once and stays; and, by a half-close first, against a reset of one that is asking just now.
         """
         now = self._clock.now()
-        going = [client for client in self._clients if client.leaving() and client.quiet()]
+        going = [client for client in self._clients if client.is_closing() and client.is_quiet()]
         closed = [client for client in going if client.last_used <= now - IDLE_FOR]
         for client in closed:
             client.close()  # it has seen the half-close by now
         if going:
             return bool(closed)
-        mute = [client for client in self._clients if client.mute and client.last_used <= now - MUTE_FOR]
+        mute = [client for client in self._clients if client.silent and client.last_used <= now - MUTE_FOR]
         idle = mute or [
-            client for client in self._clients if client.idle() and client.last_used <= now - IDLE_FOR
+            client for client in self._clients if client.is_idle() and client.last_used <= now - IDLE_FOR
         ]
         places = round(self._most_clients * PLACES_PART)
         for client in heapq.nsmallest(places, idle, key=lambda client: client.last_used):
-            client.retire("room for others")
+            client.close_if_idle("room for others")
         return bool(idle)
 
     async def _accept(self, listener: socket.socket) -> None:
@@ -312,12 +312,12 @@
                 continue
             except OSError as error:
                 # Guards against running out of descriptors: wait, and let idle connections go.
-                lacking = error.errno in NO_ROOM
-                log_some(
+                lacking = error.errno in RESOURCE_EXHAUSTED
+                log_rate_limited(
                     "no-descriptors" if lacking else "accept-failed",
                     why=error.strerror,
                     clients=len(self._clients),
-                    links=self._route.send.links(),
+                    links=self._route.dispatcher.connection_count(),
                 )
                 if lacking:
                     self._make_room()
@@ -332,7 +332,7 @@
             self._front,
             self._clock.now,
             self._budget,
-            self._timers.stood_still_for,
+            self._timers.stall_duration,
             age_at_accept(sock),
         )
         self._clients.add(client)
@@ -345,12 +345,12 @@
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                 why = await client.run()
                 if why not in USUAL_ENDS:
-                    log_some("client-lost", why=why)
+                    log_rate_limited("client-lost", why=why)
             finally:
                 self._clients.discard(client)
 
 
-async def serve(config: Config, listener: socket.socket) -> None:
+async def serve(config: RouterConfig, listener: socket.socket) -> None:
     """Runs an edge router on a socket that is bound already."""
     async with trio.open_nursery() as nursery:
         await Server(config, nursery).run(listener)
@@ -370,7 +370,7 @@
     gc.set_threshold(20_000, 20, 20)
 
 
-async def _main(config: Config, listener: socket.socket) -> None:
+async def _main(config: RouterConfig, listener: socket.socket) -> None:
     with listener:
         _calm_collector()
         await serve(config, listener)
@@ -385,12 +385,10 @@
         print(f"edge-router: {error}", file=sys.stderr)
         return 2
     try:
-        listener = open_listener(config.listen)
+        listener = open_listener(config.listen_address)
     except OSError as error:
-        print(
-            f"edge-router: can't listen on {config.listen[0]}:{config.listen[1]}: {error.strerror}",
-            file=sys.stderr,
-        )
+        host, port = config.listen_address
+        print(f"edge-router: can't listen on {host}:{port}: {error.strerror}", file=sys.stderr)
         return 2
     patiently(_probe_event_loop)
     trio.run(_main, config, listener)
--- a/edge_router/server/startup.py
+++ b/edge_router/server/startup.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable
 from typing import TypeVar
 
-from edge_router.config.platform_file import Config, ConfigUnreadableError, read_config
+from edge_router.config.platform_file import ConfigUnreadableError, RouterConfig, read_config
 from edge_router.runtime.event_log import log
-from edge_router.runtime.system_errors import is_local
+from edge_router.runtime.system_errors import is_local_shortage
 
 PATIENCE = 5.0  # seconds for which a step is tried again; the platform waits 30 s for a router to be ready
 PAUSE = 0.05
@@ -24,7 +24,7 @@
     """Whether what failed may succeed in a moment."""
     if isinstance(error, ConfigUnreadableError):
         return error.number is not None and error.number not in _LASTING
-    return isinstance(error, OSError) and (is_local(error) or error.errno == errno.EADDRINUSE)
+    return isinstance(error, OSError) and (is_local_shortage(error) or error.errno == errno.EADDRINUSE)
 
 
 def patiently(step: Callable[[], Result]) -> Result:
@@ -44,7 +44,7 @@
             return result
 
 
-def load_config() -> Config:
+def load_config() -> RouterConfig:
     """The configuration; raises ConfigError."""
     return patiently(read_config)
 
--- a/edge_router/server/supervisor.py
+++ b/edge_router/server/supervisor.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from edge_router.runtime.event_log import log_some
+from edge_router.runtime.event_log import log_rate_limited
 
 RESTART_AFTER = 0.05  # seconds
 
@@ -18,5 +18,5 @@
             await task()
             return
         except Exception as error:
-            log_some("task-failed", task=name, error=repr(error))
+            log_rate_limited("task-failed", task=name, error=repr(error))
             await trio.sleep(RESTART_AFTER)
--- a/edge_router/simulator_adapter.py
+++ b/edge_router/simulator_adapter.py
@@ -13,7 +13,7 @@
 
 from edge_router.config.settings_reader import read_settings
 from edge_router.decision import messages as i
-from edge_router.decision.policy import Director
+from edge_router.decision.policy import RoutingPolicy
 
 _HEAD = struct.Struct(">dII")
 _REPLY = struct.Struct(">II")
@@ -142,24 +142,26 @@
     i.Reject: lambda inst, act: _OUT_REFUSE.pack(60, inst, act.request_number, act.retry_after),
     i.Fail: lambda inst, act: _OUT_FAIL.pack(40, inst, act.request_number),
     i.SetTimer: lambda inst, act: _OUT_TIMER.pack(110, inst, act.token, act.fire_at),
-    i.StartHealthCheck: lambda inst, act: _OUT_PROBE.pack(20, inst, act.endpoint_id >> 16, act.endpoint_id & 65535),
+    i.StartHealthCheck: lambda inst, act: _OUT_PROBE.pack(
+        20, inst, act.endpoint_id >> 16, act.endpoint_id & 65535
+    ),
     i.WatchEndpoints: lambda inst, act: _OUT_WATCH.pack(70, inst, 1),
     i.LogMessage: lambda inst, act: _write_text(50, inst, act.text),
 }
 
 
-class Link:
+class SimulatorAdapter:
     """The instances of one process."""
 
     def __init__(self) -> None:
-        self.directors: dict[int, Director] = {}
+        self.policies: dict[int, RoutingPolicy] = {}
 
     def _launch(self, body: bytes, at: int) -> int:
         inst, entropy, count = _LAUNCH.unpack_from(body, at)
         at += _LAUNCH.size
         if at + count > len(body):
             raise WireError("settings end early")
-        self.directors[inst] = Director(read_settings(body[at : at + count]), entropy)
+        self.policies[inst] = RoutingPolicy(read_settings(body[at : at + count]), entropy)
         return int(at + count)
 
     def _one(self, now: float, body: bytes, at: int, out: list[bytes]) -> int:
@@ -168,7 +170,7 @@
         if code == _LAUNCH_CODE:
             return self._launch(body, at)
         if code == _STOP_CODE:
-            self.directors.pop(_INST.unpack_from(body, at)[0], None)
+            self.policies.pop(_INST.unpack_from(body, at)[0], None)
             return at + _INST.size
         if code == _PEER_CODE:
             _, _, count = _PEER.unpack_from(body, at)
@@ -177,7 +179,7 @@
         if reader is None:
             raise WireError(f"unknown event code {code}")
         inst, event, end = reader(body, at)
-        director = self.directors.get(inst)
+        director = self.policies.get(inst)
         if director is not None:
             out.extend(_WRITERS[type(act)](inst, act) for act in director.handle(now, event))
         return end
@@ -224,7 +226,7 @@
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Answers batches until the input ends."""
-    link = Link()
+    link = SimulatorAdapter()
     while head := _read(source, _HEAD.size):
         if len(head) < _HEAD.size:
             raise WireError("the input ends within a header")
--- a/edge_router/transport/client_connection.py
+++ b/edge_router/transport/client_connection.py
@@ -10,10 +10,10 @@
 
 from edge_router.protocol.buffer import BufferFullError
 from edge_router.protocol.fastcgi import FastCgiError
-from edge_router.runtime.memory_budget import Budget
-from edge_router.runtime.system_errors import is_local
-from edge_router.runtime.timers import STILL_UNREAD
-from edge_router.transport.client_session import GULP, Handler, Session
+from edge_router.runtime.memory_budget import MemoryBudget
+from edge_router.runtime.system_errors import is_local_shortage
+from edge_router.runtime.timers import STALL_MEMORY
+from edge_router.transport.client_session import GULP, ClientSession, RequestHandler
 from edge_router.transport.receive_age import last_received_ago
 
 LINGER = 1.0, 1 << 20  # seconds and bytes for which a client that we leave may go on sending
@@ -25,15 +25,15 @@
     return 0.0
 
 
-class Connection(Session):
+class ClientConnection(ClientSession):
     """A session on a plain non-blocking socket."""
 
     def __init__(
         self,
         sock: socket.socket,
-        handler: Handler,
+        handler: RequestHandler,
         clock: Callable[[], float],
-        budget: Budget,
+        budget: MemoryBudget,
         stood_still_for: Callable[[], float] = never,
         waited: float = 0.0,
     ) -> None:
@@ -85,7 +85,7 @@
                         self._start_writing()
             finally:
                 self._wrote = True  # it is too late to start it
-                self.ended()
+                self.on_closed()
             if self._leaving or not self._decoder.keep:
                 await self._linger()
         return "the client takes in nothing" if self._broken else why
@@ -127,22 +127,22 @@
 
     def _receive(self) -> int | None:
         """Reads once and works off what came; its count, 0 at the end, None if there is nothing now."""
-        with self._buffer.room() as view:
+        with self._buffer.writable_view() as view:
             room = len(view)
             try:
                 count = self._sock.recv_into(view)
             except BlockingIOError:
                 return None
             except OSError as error:
-                if is_local(error):
+                if is_local_shortage(error):
                     return None
                 raise
         if count:
-            self._buffer.filled(count)
+            self._buffer.commit(count)
             self._note_unread(count == room)
             self._receiving = True
             try:
-                self.received()
+                self.on_received()
             finally:
                 self._receiving = False
         return count
@@ -152,12 +152,12 @@
         received_ago = last_received_ago(self._sock)
         most = max(received_ago or 0.0, self._stood_still_for())
         since_accepted = self._clock() - self._accepted_at
-        if self.mute and since_accepted < STILL_UNREAD * 1000.0:
+        if self.silent and since_accepted < STALL_MEMORY * 1000.0:
             most = max(most, self._waited + since_accepted)
         self._unread_most = most
         self._unread_last = most if more or received_ago is None else received_ago
 
-    def look(self) -> None:
+    def poll_input(self) -> None:
         """Reads what is there. The task that reads finds the end and what can't be read by itself."""
         if self._receiving or self._reading.cancel_called:
             return
@@ -189,5 +189,5 @@
                     self._broken = True
                     break
                 self._room_wanted = trio.Event()
-                self.writable()
+                self.on_writable()
         self._reading.cancel()
--- a/edge_router/transport/client_session.py
+++ b/edge_router/transport/client_session.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from edge_router.protocol.buffer import Buffer
+from edge_router.protocol.buffer import ReceiveBuffer
 from edge_router.protocol.fastcgi import (
     COMPLETE,
     OVERLOADED,
@@ -21,8 +21,8 @@
     answer_records,
     end_record,
 )
-from edge_router.runtime.memory_budget import Budget
-from edge_router.runtime.system_errors import is_local
+from edge_router.runtime.memory_budget import MemoryBudget
+from edge_router.runtime.system_errors import is_local_shortage
 from edge_router.transport.upstream_channel import Socket
 
 MOST_UNREAD = 2 * (65_536 + 256 + 8)
@@ -32,36 +32,40 @@
 GULP = 65_536  # bytes handed to the socket at once
 
 
-class Handler(Protocol):
+class RequestHandler(Protocol):
     """Who takes the requests of all connections."""
 
-    def request(self, connection: Session, ident: int, params: dict[str, str], body: bytes, bad: str) -> bool:
+    def on_request(
+        self, connection: ClientSession, ident: int, params: dict[str, str], body: bytes, bad: str
+    ) -> bool:
         """A request has come in, or is ended for what is bad with it; exactly one answer or an end is owed.
 
         Says whether it was one that can be taken.
         """
 
-    def aborted(self, connection: Session, ident: int) -> None:
+    def on_aborted(self, connection: ClientSession, ident: int) -> None:
         """The client has left this request."""
 
-    def gone(self, connection: Session, ident: int) -> None:
+    def on_disconnected(self, connection: ClientSession, ident: int) -> None:
         """The client sends no more: it has closed the connection, or its half of it."""
 
 
-class Session:
+class ClientSession:
     """One client connection: requests in, answers out by turns, record by record."""
 
-    def __init__(self, sock: Socket, handler: Handler, clock: Callable[[], float], budget: Budget) -> None:
+    def __init__(
+        self, sock: Socket, handler: RequestHandler, clock: Callable[[], float], budget: MemoryBudget
+    ) -> None:
         self._sock = sock
         self._handler = handler
         self._clock = clock
         self._budget = budget
         self._decoder = Decoder(budget, clock)
-        self._buffer = Buffer(MOST_UNREAD)
+        self._buffer = ReceiveBuffer(MOST_UNREAD)
         self._leaving = ""  # why the connection ends once all that is open on it is answered
         self._partial_since = clock()  # when a record began to come in that is not whole; 0: there is none
-        self.mute = True  # not a byte has come so far
-        self.unread_for = 0.0  # ms for which the request that is being handed on may have waited unread
+        self.silent = True  # not a byte has come so far
+        self.time_unread = 0.0  # ms for which the request that is being handed on may have waited unread
         self._unread_most = 0.0  # the same for all that came with the last bytes,
         self._unread_last = 0.0  # and for the last of it
         self._urgent: deque[bytes] = deque()
@@ -88,9 +92,9 @@
 
     # -- what whoever does the I/O tells --
 
-    def received(self) -> None:
+    def on_received(self) -> None:
         """More bytes are in the buffer; raises FastCgiError if they can't be read."""
-        self.mute = False
+        self.silent = False
         now = self.last_used = self._clock()
         held = len(self._buffer)
         for event in self._decoder.events(self._buffer):
@@ -99,7 +103,7 @@
             elif isinstance(event, Arrived):
                 self._request(event)
             elif isinstance(event, Aborted):
-                self._handler.aborted(self, event.ident)
+                self._handler.on_aborted(self, event.ident)
             else:
                 self._owe(event.data)
         if not len(self._buffer):
@@ -109,42 +113,46 @@
         if self._decoder.turned_away > MOST_TURNED_AWAY:
             self._leave("turned away too often")
 
-    def writable(self) -> None:
+    def on_writable(self) -> None:
         """The socket takes more again."""
         self._full = False
         self._pump()
 
-    def ended(self) -> None:
+    def on_closed(self) -> None:
         """The connection is over; to be called once, as the last."""
         self._decoder.close()
         self._left()
-        self._budget.give(self._unsent)
+        self._budget.release(self._unsent)
         self._unsent = 0
 
     def _left(self) -> None:
         """The client sends no more."""
         for ident in sorted(self._decoder.open):
-            self._handler.gone(self, ident)
+            self._handler.on_disconnected(self, ident)
 
     # -- for those who use it --
 
-    def quiet(self) -> bool:
+    def is_quiet(self) -> bool:
         """Whether no request that came in whole is open, and nothing waits to be written."""
         return not (self._decoder.taken() or self._urgent or self._answers or self._rest)
 
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether it is quiet and nothing is coming in either."""
-        return self.quiet() and not self._decoder.coming() and not self._partial_since
+        return self.is_quiet() and not self._decoder.coming() and not self._partial_since
 
-    def check(self, now: float) -> None:
+    def check_timeouts(self, now: float) -> None:
         """Ends what has been coming in for too long.
 
         Guards against clients that connect and say nothing, or begin and never end.
         """
-        if self._partial_since and self._partial_since < now - TAKE_IN and not (self.mute and self._unread()):
-            self._leave("says nothing" if self.mute else "a record is not whole in time")
+        if (
+            self._partial_since
+            and self._partial_since < now - TAKE_IN
+            and not (self.silent and self._unread())
+        ):
+            self._leave("says nothing" if self.silent else "a record is not whole in time")
         for event in self._decoder.overdue(now - TAKE_IN):
-            self._handler.request(self, *event)
+            self._handler.on_request(self, *event)
 
     def _leave(self, why: str) -> None:
         """Takes no more requests, and ends the connection once all that is open on it is answered.
@@ -155,16 +163,16 @@
             self._leaving, self.last_used = why, self._clock()
         self._pump()
 
-    def leaving(self) -> bool:
+    def is_closing(self) -> bool:
         """Whether the connection is being ended."""
         return bool(self._leaving)
 
-    def retire(self, why: str) -> None:
+    def close_if_idle(self, why: str) -> None:
         """Ends a connection that rests, unless a request is there already that has not been read."""
-        if not self._leaving and (self.idle() or self.mute) and not self._unread():
+        if not self._leaving and (self.is_idle() or self.silent) and not self._unread():
             self._leave(why)
 
-    def look(self) -> None:
+    def poll_input(self) -> None:
         """Takes in what has come meanwhile, also the client's leaving: the last look before an attempt."""
 
     def _unread(self) -> bool:
@@ -179,16 +187,16 @@
         self._decoder.open.discard(ident)
         self._owe(end_record(ident, OVERLOADED))
 
-    def answer(self, ident: int, head: bytes, body: bytes) -> None:
+    def send_response(self, ident: int, head: bytes, body: bytes) -> None:
         """Queues the whole answer to a request."""
         records = answer_records(ident, head, body)
         size = sum(map(len, records))
         self._unsent += size
-        self._budget.take(size)
+        self._budget.reserve(size)
         self._answers.append((ident, records))
         self._pump()
 
-    def end(self, ident: int, status: int) -> None:
+    def end_request(self, ident: int, status: int) -> None:
         """Ends a request without an answer."""
         self._decoder.open.discard(ident)
         self._owe(end_record(ident, status, 1 if status == COMPLETE else 0))
@@ -203,8 +211,8 @@
 
     def _request(self, event: Arrived) -> None:
         """Hands a request on. Guards against one that is sent again whenever it is turned away."""
-        self.unread_for = self._unread_most if len(self._buffer) else self._unread_last
-        if self._handler.request(self, *event):
+        self.time_unread = self._unread_most if len(self._buffer) else self._unread_last
+        if self._handler.on_request(self, *event):
             self._decoder.turned_away = 0
         else:
             self._decoder.turned_away += 1
@@ -220,7 +228,7 @@
                 ident, records = self._answers.popleft()
                 part = records.popleft()
                 self._unsent -= len(part)
-                self._budget.give(len(part))
+                self._budget.release(len(part))
                 if records:
                     self._answers.append((ident, records))
                 else:
@@ -244,7 +252,7 @@
             except BlockingIOError:
                 sent = 0
             except OSError as error:
-                if not is_local(error):
+                if not is_local_shortage(error):
                     self.close()
                     return
                 sent = 0
--- a/edge_router/transport/receive_age.py
+++ b/edge_router/transport/receive_age.py
@@ -2,7 +2,7 @@
 
 A client's time counts from when it sent its request. What came in while the loop was busy or the process
 stood still, or while the connection waited to be accepted, is older than its reading. For what came before
-the last bytes the kernel tells nothing: there `Timers.stood_still_for` is the measure.
+the last bytes the kernel tells nothing: there `Timers.stall_duration` is the measure.
 """
 
 from __future__ import annotations
--- a/edge_router/transport/upstream_channel.py
+++ b/edge_router/transport/upstream_channel.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from edge_router.protocol.buffer import Buffer
+from edge_router.protocol.buffer import ReceiveBuffer
 from edge_router.protocol.resp import MOST_BULK, Decoder
-from edge_router.runtime.system_errors import is_local
+from edge_router.runtime.system_errors import is_local_shortage
 
 
 class Socket(Protocol):
@@ -26,59 +26,61 @@
         """Reads; empty at the end."""
 
 
-class Command(Protocol):
+class OutgoingCommand(Protocol):
     """Something to be written, which decides in the last moment whether it still goes out."""
 
-    def begin(self) -> bytes | None:
+    def encode(self) -> bytes | None:
         """Called right before the first byte is written; None: it does not go."""
 
-    def unwritten(self) -> None:
+    def on_not_written(self) -> None:
         """Not one byte of it was written after all."""
 
 
-class Owner(Protocol):
+class ChannelOwner(Protocol):
     """Who is told of what a connection does."""
 
-    def arrived(self, connection: Channel, array: list[bytes]) -> None:
+    def on_message(self, connection: UpstreamChannel, array: list[bytes]) -> None:
         """An array came in; raises RespError if it can't be read, which ends the connection."""
 
-    def closed(self, connection: Channel, why: str) -> None:
+    def on_channel_closed(self, connection: UpstreamChannel, why: str) -> None:
         """The connection has ended, or never came up. Told once."""
 
 
-class Channel:
+class UpstreamChannel:
     """One connection to a server, from its opening to its end.
 
     What is put is written at once as far as the socket takes it, the rest as room comes.
     """
 
-    def __init__(self, owner: Owner, clock: Callable[[], float]) -> None:
+    def __init__(self, owner: ChannelOwner, clock: Callable[[], float]) -> None:
         self._owner = owner
         self._clock = clock
         self._sock: Socket
-        self._queue: deque[Command] = deque()
+        self._queue: deque[OutgoingCommand] = deque()
         self._rest = b""  # of the command under way
         self._pumping = False
         self._full = False  # the socket takes no more
         self._why = "closed by us"
-        self.buffer = Buffer(MOST_BULK + 4096)
+        self.buffer = ReceiveBuffer(MOST_BULK + 4096)
         self.decoder = Decoder()
-        self.lacking = False  # there was no descriptor for it
-        self.up = False  # somebody was there: it came up or was reset, whatever became of it
-        self.over = False
-        self.halfway_at = 0.0  # when the last byte of an answer that is not whole came in; 0: none has begun
+        self.local_shortage = False  # there was no descriptor for it
+        self.connected = False  # somebody was there: it came up or was reset, whatever became of it
+        self.closed = False
+        self.partial_since = (
+            0.0  # when the last byte of an answer that is not whole came in; 0: none has begun
+        )
 
     # -- for those who use it --
 
-    def put(self, command: Command) -> None:
+    def send(self, command: OutgoingCommand) -> None:
         """Queues a command."""
         self._queue.append(command)
-        if self.up and not self._full:
+        if self.connected and not self._full:
             self._pump()
 
     def close(self) -> None:
         """Ends the connection and gives up everything open on it; the owner is told by and by."""
-        self.over = True
+        self.closed = True
         self._stop()
 
     # -- what whoever does the I/O carries out --
@@ -91,35 +93,35 @@
 
     # -- what whoever does the I/O tells --
 
-    def opened(self, sock: Socket) -> None:
+    def on_connected(self, sock: Socket) -> None:
         """The connection is up."""
         self._sock = sock
-        self.up = True
+        self.connected = True
         self._pump()
 
-    def received(self) -> None:
+    def on_received(self) -> None:
         """More bytes are in the buffer; raises RespError if they can't be read."""
         for array in self.decoder.arrays(self.buffer):
-            self._owner.arrived(self, array)
-        self.halfway_at = self._clock() if self.decoder.midway() or len(self.buffer) else 0.0
+            self._owner.on_message(self, array)
+        self.partial_since = self._clock() if self.decoder.midway() or len(self.buffer) else 0.0
 
-    def writable(self) -> None:
+    def on_writable(self) -> None:
         """The socket takes more again."""
         self._full = False
         self._pump()
 
-    def failed(self, error: OSError) -> None:
+    def on_connect_failed(self, error: OSError) -> None:
         """Connecting or setting up failed. A reset shows that somebody is there."""
         self._why = str(error) or type(error).__name__
-        self.up = self.up or isinstance(error, ConnectionResetError)
+        self.connected = self.connected or isinstance(error, ConnectionResetError)
 
-    def ended(self, why: str = "") -> None:
+    def on_closed(self, why: str = "") -> None:
         """It is over; to be called once, as the last.
 
         Guards against a connection that is over and still held by a cycle with its owner, buffer and all.
         """
-        self.over = True
-        self._owner.closed(self, why or self._why)
+        self.closed = True
+        self._owner.on_channel_closed(self, why or self._why)
         del self._owner
 
     # -- writing --
@@ -134,7 +136,7 @@
             return
         self._pumping = True
         try:
-            while (self._rest or self._queue) and not self.over and not self._full:
+            while (self._rest or self._queue) and not self.closed and not self._full:
                 self._pump_one()
         finally:
             self._pumping = False
@@ -146,7 +148,7 @@
         except BlockingIOError:
             return False
         except OSError as error:
-            ended = not is_local(error)
+            ended = not is_local_shortage(error)
         if ended:
             self._why = "closed by the server"
             self.close()
@@ -158,7 +160,7 @@
             if self._ended():
                 return
             command = self._queue.popleft()
-            self._rest = command.begin() or b""
+            self._rest = command.encode() or b""
             if not self._rest:
                 return
         sent = 0
@@ -167,13 +169,13 @@
         except BlockingIOError:
             pass
         except OSError as error:
-            if not is_local(error):  # else it is written once there is room again
+            if not is_local_shortage(error):  # else it is written once there is room again
                 self._why = str(error)
                 self.close()
         if sent or command is None:
             self._rest = self._rest[sent:]
         else:
-            command.unwritten()
+            command.on_not_written()
             self._rest = b""
             self._queue.appendleft(command)
         if self._rest or not sent:
--- a/edge_router/transport/upstream_connection.py
+++ b/edge_router/transport/upstream_connection.py
@@ -9,17 +9,17 @@
 
 from edge_router.protocol.buffer import BufferFullError
 from edge_router.protocol.resp import RespError
-from edge_router.runtime.system_errors import is_local
-from edge_router.transport.upstream_channel import Channel, Owner
+from edge_router.runtime.system_errors import is_local_shortage
+from edge_router.transport.upstream_channel import ChannelOwner, UpstreamChannel
 
 PAUSE = 0.01  # seconds between two tries where our own system lacked something
 
 
-class Connection(Channel):
+class TrioUpstreamChannel(UpstreamChannel):
     """A channel on a plain non-blocking socket; a task writes what could not be written at once."""
 
     def __init__(
-        self, owner: Owner, address: tuple[str, int], patience: float, clock: Callable[[], float]
+        self, owner: ChannelOwner, address: tuple[str, int], patience: float, clock: Callable[[], float]
     ) -> None:
         """Patience is in seconds."""
         super().__init__(owner, clock)
@@ -42,9 +42,9 @@
             with self._scope:
                 why = await self._live_patiently()
         except OSError as error:
-            self.failed(error)
+            self.on_connect_failed(error)
         finally:
-            self.ended(why)
+            self.on_closed(why)
 
     async def _live_patiently(self) -> str:
         """Connects, once more where our own system lacks something for a moment; returns why it ended.
@@ -58,7 +58,7 @@
                 with trio.socket.from_stdlib_socket(self._sock) as sock:
                     return await self._live(sock, end)
             except OSError as error:
-                self.lacking = is_local(error) and not self.up
+                self.lacking = is_local_shortage(error) and not self.connected
                 if not self.lacking or trio.current_time() + PAUSE >= end:
                     raise
             await trio.sleep(PAUSE)
@@ -70,7 +70,7 @@
             await sock.connect(self._address)
         if waiting.cancelled_caught:
             return "not up in time"
-        self.opened(self._sock)
+        self.on_connected(self._sock)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._write)
             why = await self._read()
@@ -82,19 +82,19 @@
         try:
             while True:
                 await trio.lowlevel.wait_readable(self._sock)
-                with buffer.room(max(4096, decoder.wanted(len(buffer)))) as view:
+                with buffer.writable_view(max(4096, decoder.wanted(len(buffer)))) as view:
                     try:
                         count = self._sock.recv_into(view)
                     except BlockingIOError:
                         continue
                     except OSError as error:
-                        if is_local(error):
+                        if is_local_shortage(error):
                             continue
                         raise
                 if not count:
                     return "closed by the server"
-                buffer.filled(count)
-                self.received()
+                buffer.commit(count)
+                self.on_received()
         except (OSError, RespError, BufferFullError) as error:
             return str(error) or type(error).__name__
 
@@ -103,4 +103,4 @@
             await self._room_wanted.wait()
             await trio.lowlevel.wait_writable(self._sock)
             self._room_wanted = trio.Event()
-            self.writable()
+            self.on_writable()
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -20,7 +20,7 @@
 import ujson
 
 from edge_router.protocol import resp
-from edge_router.protocol.buffer import Buffer
+from edge_router.protocol.buffer import ReceiveBuffer
 
 RECORD = struct.Struct(">IIHBBBHIQ")
 
@@ -94,9 +94,9 @@
 
 async def cache(depot: Depot, name: str, stream: trio.SocketStream) -> None:
     """One connection to a cache."""
-    buffer, decoder = Buffer(2 << 20), resp.Decoder()
+    buffer, decoder = ReceiveBuffer(2 << 20), resp.Decoder()
     async for data in stream:
-        buffer.feed(data)
+        buffer.append(data)
         for words in decoder.arrays(buffer):
             if answer := depot.answer(name, words):
                 await stream.send_all(answer)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -22,7 +22,7 @@
     StartAttempt,
     UpdateKind,
 )
-from edge_router.decision.policy import Director
+from edge_router.decision.policy import RoutingPolicy
 from edge_router.decision.settings import ClassSettings, DeduplicationScope, Idempotency, Settings
 
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
@@ -103,7 +103,7 @@
     """One routing policy, its clock and the requests it was given."""
 
     def __init__(self, settings: Settings | None = None, nodes: list[Endpoint] | None = None) -> None:
-        self.routing_policy = Director(settings or make_settings(), 7)
+        self.routing_policy = RoutingPolicy(settings or make_settings(), 7)
         self.now = 100_000.0
         self.last_request_id = 0
         self.endpoints = make_endpoints() if nodes is None else nodes
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -6,10 +6,10 @@
 from router_harness import SETTINGS, RouterHarness
 from socket_requests import is_rejection
 
-from edge_router.config.settings_reader import settings_from
-from edge_router.proxy.admission import Admit
-from edge_router.proxy.request_table import OpenRequests
-from edge_router.runtime.memory_budget import Budget
+from edge_router.config.settings_reader import settings_from_json
+from edge_router.proxy.admission import AdmissionController
+from edge_router.proxy.request_table import RequestTable
+from edge_router.runtime.memory_budget import MemoryBudget
 
 
 def test_idle_clients_are_evicted_and_busy_ones_stay() -> None:
@@ -80,23 +80,23 @@
 
     A new share applies at once.
     """
-    settings = settings_from({"zone": 0, "classes": [{"deadline": 5000.0, "on_time": 900.0}]})
-    admit = Admit(settings, OpenRequests(), Budget(), 0.0, 1)
-    admit.cpu.share(1e-9)
-    assert admit.cpu.left() < 0
-    assert [admit.too_much(1000.0 + waited, 1000.0, 0) for waited in (0.0, 20.0, 30.0, 400.0)] == [
+    settings = settings_from_json({"zone": 0, "classes": [{"deadline": 5000.0, "on_time": 900.0}]})
+    admit = AdmissionController(settings, RequestTable(), MemoryBudget(), 0.0, 1)
+    admit.cpu_credit.set_share(1e-9)
+    assert admit.cpu_credit.remaining() < 0
+    assert [admit.shed_reason(1000.0 + waited, 1000.0, 0) for waited in (0.0, 20.0, 30.0, 400.0)] == [
         "",
         "",
         "cpu",
         "waited",
     ]
-    admit.cpu.share(1.0)
-    assert admit.too_much(1030.0, 1000.0, 0) == ""
+    admit.cpu_credit.set_share(1.0)
+    assert admit.shed_reason(1030.0, 1000.0, 0) == ""
 
 
 @pytest.mark.parametrize("waited, refused", [(10.0, []), (50.0, [0]), (100.0, [0, 1]), (9000.0, [0, 1, 2])])
 def test_requests_that_waited_too_long_are_shed_by_priority_weight(waited: float, refused: list[int]) -> None:
     classes = [{"deadline": 5000.0, "on_time": 200.0, "importance": worth} for worth in (1.0, 2.0, 4.5)]
-    settings = settings_from({"zone": 0, "classes": classes})
-    admit = Admit(settings, OpenRequests(), Budget(), 0.0, 1)
-    assert [kind for kind in range(3) if admit.too_much(1000.0 + waited, 1000.0, kind)] == refused
+    settings = settings_from_json({"zone": 0, "classes": classes})
+    admit = AdmissionController(settings, RequestTable(), MemoryBudget(), 0.0, 1)
+    assert [kind for kind in range(3) if admit.shed_reason(1000.0 + waited, 1000.0, kind)] == refused
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -13,7 +13,7 @@
 from edge_router import simulator_adapter
 from edge_router.config.settings_reader import read_settings
 from edge_router.decision import messages as i
-from edge_router.simulator_adapter import Link, WireError, serve
+from edge_router.simulator_adapter import SimulatorAdapter, WireError, serve
 
 SETTINGS = {
     "zone": 0,
@@ -99,7 +99,7 @@
 
 
 def test_actions_are_encoded() -> None:
-    link = Link()
+    link = SimulatorAdapter()
     link.batch(0.0, 2, launch(3) + listed(3))
     expected = [
         (i.CancelAttempt(1, 2), (30, 3, 1, 2), ">BIIB"),
@@ -115,13 +115,13 @@
 
 
 def test_exception_becomes_a_bug_report(monkeypatch: pytest.MonkeyPatch) -> None:
-    link = Link()
+    link = SimulatorAdapter()
     link.batch(0.0, 2, launch(3) + listed(3))
 
     def broken(now: float, event: object) -> list[object]:
         raise KeyError("a slip")
 
-    monkeypatch.setattr(link.directors[3], "handle", broken)
+    monkeypatch.setattr(link.policies[3], "handle", broken)
     reply = link.batch(1.0, 1, incoming(3, 8))
     assert reply[8] == 100 and b"a slip" in reply
     bad = json.dumps({"classes": []}).encode()
@@ -152,7 +152,7 @@
 
 def test_short_record_within_a_valid_frame_is_a_wire_error() -> None:
     with pytest.raises(WireError):
-        Link().batch(0.0, 1, incoming(3, 8)[:-3])
+        SimulatorAdapter().batch(0.0, 1, incoming(3, 8)[:-3])
 
 
 def test_settings_error_names_what_is_missing() -> None:
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -121,7 +121,9 @@
     assert isinstance(model, RouterModel)
     assert check_fields(all_parts(model.state)) == []
     vars(model.state.harness.route)["_new"] = 1
-    assert check_fields(all_parts(model.state)) == ["Route._new is not in the ledger of the fingerprint"]
+    assert check_fields(all_parts(model.state)) == [
+        "RequestRouter._new is not in the ledger of the fingerprint"
+    ]
 
 
 def test_states_are_told_apart_by_what_matters_alone() -> None:
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -10,15 +10,15 @@
 from conftest import CACHES, PolicyHarness
 from router_harness import SETTINGS
 
-from edge_router.config.settings_reader import settings_from
+from edge_router.config.settings_reader import settings_from_json
 from edge_router.decision.messages import Endpoint, EndpointState, UpdateKind
 from edge_router.discovery.events import EndpointAddress, EndpointsChanged
 from edge_router.proxy.exchange import FinalResponse, IncomingRequest, ResponseStatus
-from edge_router.proxy.request_router import Route
+from edge_router.proxy.request_router import RequestRouter
 from edge_router.runtime.clock import Clock
-from edge_router.runtime.memory_budget import Budget
+from edge_router.runtime.memory_budget import MemoryBudget
 from edge_router.runtime.timers import Timers
-from edge_router.transport.upstream_channel import Channel, Owner
+from edge_router.transport.upstream_channel import ChannelOwner, UpstreamChannel
 
 
 @pytest.fixture(autouse=True)
@@ -42,14 +42,14 @@
     """A request router with two caches, whose connections are never established."""
 
     def __init__(self) -> None:
-        clock, budget = Clock(lambda: 1000.0, lambda: 1000.0), Budget()
-        budget.most = 1e9
-        self.channels: list[Channel] = []
-        self.route = Route(
-            settings_from(SETTINGS), 7, clock, Timers(clock, lambda: 0.0), budget, 0.0, self._connect
+        clock, budget = Clock(lambda: 1000.0, lambda: 1000.0), MemoryBudget()
+        budget.limit = 1e9
+        self.channels: list[UpstreamChannel] = []
+        self.route = RequestRouter(
+            settings_from_json(SETTINGS), 7, clock, Timers(clock, lambda: 0.0), budget, 0.0, self._connect
         )
         self.clock = clock
-        self.route.send.most_links = 8
+        self.route.dispatcher.max_connections = 8
         kinds = ((0x10, 0, 1), (0x11, 0, 1), (0x30, 2, 0))
         self.route.on_discovery_event(
             EndpointsChanged(
@@ -63,12 +63,12 @@
             )
         )
 
-    def _connect(self, owner: Owner, address: tuple[str, int], patience: float) -> Channel:
-        self.channels.append(Channel(owner, self.clock.now))
+    def _connect(self, owner: ChannelOwner, address: tuple[str, int], patience: float) -> UpstreamChannel:
+        self.channels.append(UpstreamChannel(owner, self.clock.now))
         return self.channels[-1]
 
     def request(self, client: Client) -> None:
-        request = self.route.asked(
+        request = self.route.on_request(
             IncomingRequest(
                 "9b1f03aa5c7e2d41",
                 "image",
@@ -85,7 +85,7 @@
                 client.reply,
             )
         )
-        assert request is not None and not self.route.decide()
+        assert request is not None and not self.route.run_decisions()
 
 
 def test_closed_connection_is_freed_with_its_buffer() -> None:
@@ -93,7 +93,7 @@
     bench.request(Client())
     assert len(bench.channels) == 1
     held = weakref.ref(bench.channels[0].buffer)
-    bench.channels.pop(0).ended("refused")
+    bench.channels.pop(0).on_closed("refused")
     assert held() is None
 
 
@@ -102,7 +102,7 @@
     held = weakref.ref(client)
     bench.request(client)
     while bench.channels:
-        bench.channels.pop(0).ended("refused")
+        bench.channels.pop(0).on_closed("refused")
     assert [answer.status for answer in client.answers] == [ResponseStatus.REJECTED]
     del client
     assert held() is None
--- a/tests/test_peer_time.py
+++ b/tests/test_peer_time.py
@@ -7,8 +7,8 @@
 import pytest
 
 from edge_router.runtime.clock import Clock
-from edge_router.runtime.event_log import divert
-from edge_router.runtime.peer_clock import PeerTime
+from edge_router.runtime.event_log import set_sink
+from edge_router.runtime.peer_clock import PeerClock
 
 START = 1_000_000.0  # Unix seconds
 
@@ -19,19 +19,19 @@
     def __init__(self) -> None:
         self.steady, self.wall_ahead = START, 0.0
         self.clock = Clock(lambda: self.steady, lambda: self.steady + self.wall_ahead)
-        self.peers = PeerTime(self.clock)
+        self.peers = PeerClock(self.clock)
 
     def copy(self, age: float, peers_ahead: float = 0.0, took: float = 0.02) -> None:
         """Receives a copy that left the origin `age` seconds before its response, by the peers' clock."""
         sent = self.clock.now()
         self.steady += took
         received = self.clock.now()
-        self.peers.given_out(received + (peers_ahead - age) * 1000.0, sent, received)
+        self.peers.observe_copy(received + (peers_ahead - age) * 1000.0, sent, received)
         self.steady += 0.3
 
     def off_by(self) -> float:
         """Estimated seconds by which the clock of the peers is ahead of the local one."""
-        return (self.clock.now() - self.peers.local(self.clock.now())) / 1000.0
+        return (self.clock.now() - self.peers.to_local(self.clock.now())) / 1000.0
 
 
 @pytest.fixture
@@ -41,9 +41,9 @@
 
 @pytest.fixture(autouse=True)
 def quiet() -> Iterator[None]:
-    divert(lambda event, fields: None)
+    set_sink(lambda event, fields: None)
     yield
-    divert(None)
+    set_sink(None)
 
 
 def test_copies_older_than_their_attempt_do_not_move_the_peer_clock(machine: Machine) -> None:
@@ -71,7 +71,7 @@
 
 
 def test_events_from_the_future_show_an_offset_unless_implausible(machine: Machine) -> None:
-    machine.peers.happened(machine.clock.now() + 5000.0)
+    machine.peers.observe_event(machine.clock.now() + 5000.0)
     assert machine.off_by() == pytest.approx(5.0)
-    machine.peers.happened(2.0**63)
+    machine.peers.observe_event(2.0**63)
     assert machine.off_by() == pytest.approx(5.0)
--- a/tests/test_policy_popularity.py
+++ b/tests/test_policy_popularity.py
@@ -5,7 +5,7 @@
 from conftest import make_settings
 
 from edge_router.decision.messages import RequestReceived
-from edge_router.decision.policy import FRESH_FOR, HALF_LIFE, TABLE_MOST, Director, Popularity
+from edge_router.decision.policy import FRESH_FOR, HALF_LIFE, TABLE_MOST, Popularity, RoutingPolicy
 
 
 def record_mixed_requests(popularity: Popularity, requests: int = 3000, once: int = 7) -> None:
@@ -66,6 +66,6 @@
 
 
 def test_half_life_is_a_multiple_of_the_slow_start_duration() -> None:
-    routing_policy = Director(make_settings(slow_start_duration=20_000.0), 1)
+    routing_policy = RoutingPolicy(make_settings(slow_start_duration=20_000.0), 1)
     assert routing_policy._popularity._half_life == HALF_LIFE * 20_000.0
     assert RequestReceived(1, 0, 1, 1.0, 1.0, 0, 0).segment == 0
--- a/tests/test_policy_robustness.py
+++ b/tests/test_policy_robustness.py
@@ -19,7 +19,7 @@
     TimerFired,
     UpdateKind,
 )
-from edge_router.decision.policy import Director
+from edge_router.decision.policy import RoutingPolicy
 
 
 def test_malformed_requests_are_answered(policy: PolicyHarness) -> None:
@@ -67,7 +67,7 @@
 
 def test_missing_classes_are_named_in_the_error() -> None:
     with pytest.raises(ValueError, match="classes"):
-        Director(
+        RoutingPolicy(
             make_settings().__class__(
                 **{**{f: getattr(make_settings(), f) for f in make_settings().__slots__}, "classes": ()}
             ),
@@ -93,7 +93,8 @@
             acts += policy.handle(TimerFired(max(1, policy.last_request_id - 20)), 3.0)
             lines[place].append(repr(acts))
     return lines
-print(play([PolicyHarness()])[0] == play([PolicyHarness(), PolicyHarness(make_settings(coalesces_fills=False))])[0])
+other = PolicyHarness(make_settings(coalesces_fills=False))
+print(play([PolicyHarness()])[0] == play([PolicyHarness(), other])[0])
 print(play([PolicyHarness()])[0])
 """
 
