--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -23,13 +23,13 @@
 from tcp_endpoints import UnresponsiveAddress, free_address
 from waiting import TEST_TIMEOUT
 
-from edge_router.discovery.change_log_watcher import ChangeLog
-from edge_router.proxy.request_router import Route
+from edge_router.discovery.change_log_watcher import ChangeLogWatcher
+from edge_router.proxy.request_router import RequestRouter
 from edge_router.runtime.clock import Clock
-from edge_router.runtime.event_log import divert
-from edge_router.runtime.memory_budget import Budget
-from edge_router.transport.client_connection import Connection
-from edge_router.transport.client_session import MOST_TURNED_AWAY, Session
+from edge_router.runtime.event_log import set_sink
+from edge_router.runtime.memory_budget import MemoryBudget
+from edge_router.transport.client_connection import ClientConnection
+from edge_router.transport.client_session import MOST_TURNED_AWAY, ClientSession
 
 TIME_WAIT = "06"
 
@@ -60,16 +60,18 @@
         self.asked = 0
         self.came = trio.Event()
 
-    def request(self, connection: Session, ident: int, params: dict[str, str], body: bytes, bad: str) -> bool:
+    def on_request(
+        self, connection: ClientSession, ident: int, params: dict[str, str], body: bytes, bad: str
+    ) -> bool:
         self.asked += 1
         self.came.set()
-        connection.answer(ident, b"Status: 200 OK\r\n\r\n", b"")
+        connection.send_response(ident, b"Status: 200 OK\r\n\r\n", b"")
         return True
 
-    def aborted(self, connection: Session, ident: int) -> None:
+    def on_aborted(self, connection: ClientSession, ident: int) -> None:
         """No attempt is in flight."""
 
-    def gone(self, connection: Session, ident: int) -> None:
+    def on_disconnected(self, connection: ClientSession, ident: int) -> None:
         """No attempt is in flight."""
 
 
@@ -135,21 +137,21 @@
         ours, theirs = socket.socketpair()
         with ours, theirs:
             ours.setblocking(False)
-            handler, budget = HealthHandler(), Budget()
-            budget.most = 1e6
-            connection = Connection(ours, handler, Clock().now, budget)
+            handler, budget = HealthHandler(), MemoryBudget()
+            budget.limit = 1e6
+            connection = ClientConnection(ours, handler, Clock().now, budget)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(connection.run)
                 await trio.testing.wait_all_tasks_blocked()
                 theirs.sendall(
                     FastCgiClient.encode_request(FastCgiClient.__new__(FastCgiClient), path="/status/live")
                 )
-                connection.retire("room for others")
-                assert not connection.leaving()
+                connection.close_if_idle("room for others")
+                assert not connection.is_closing()
                 with trio.fail_after(TEST_TIMEOUT):
                     await handler.came.wait()
                 assert b"200 OK" in theirs.recv(1000)
-                connection.retire("room for others")
+                connection.close_if_idle("room for others")
                 theirs.sendall(
                     FastCgiClient.encode_request(FastCgiClient.__new__(FastCgiClient), path="/status/live")
                 )
@@ -199,11 +201,11 @@
                     if len(times) == 6:
                         scope.cancel()
 
-                divert(note)
-                await ChangeLog(*free_address(), 0, seed).run(Route.__new__(Route))
+                set_sink(note)
+                await ChangeLogWatcher(*free_address(), 0, seed).run(RequestRouter.__new__(RequestRouter))
 
         trio.run(follow, clock=trio.testing.MockClock(autojump_threshold=0))
-        divert(None)
+        set_sink(None)
         return times
 
     first, second = lost_at(1), lost_at(2)
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -12,5 +12,5 @@
     assert code is not None
     exec(compile(code[1], "README.md", "exec"), {})
     lines = capsys.readouterr().out.splitlines()
-    assert re.fullmatch(r"ask cache 10[12], fill from 201, keep at rank 1", lines[0])
+    assert re.fullmatch(r"ask cache 10[12], fill from 201, cache at rank 1", lines[0])
     assert lines[1] == "[]"
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -16,7 +16,7 @@
     started_attempts,
 )
 
-from edge_router.config.settings_reader import settings_from
+from edge_router.config.settings_reader import settings_from_json
 from edge_router.decision.messages import (
     ClientDisconnected,
     EndpointListUpdate,
@@ -131,7 +131,7 @@
 ) -> None:
     entry = {"deadline": 900.0, "effect": effect, "group": group}
     told = {name: value for name, value in entry.items() if value is not None}
-    (cls,) = settings_from({"zone": 0, "classes": [told]}).classes
+    (cls,) = settings_from_json({"zone": 0, "classes": [told]}).classes
     assert (cls.idempotency, cls.deduplication_scope) == taken
 
 
--- a/tests/test_statistics.py
+++ b/tests/test_statistics.py
@@ -4,23 +4,25 @@
 
 from router_harness import SETTINGS
 
-from edge_router.config.settings_reader import settings_from
+from edge_router.config.settings_reader import settings_from_json
 from edge_router.proxy import exchange
-from edge_router.proxy.request_router import Route
+from edge_router.proxy.request_router import RequestRouter
 from edge_router.runtime.clock import Clock
-from edge_router.runtime.event_log import divert
-from edge_router.runtime.memory_budget import Budget
+from edge_router.runtime.event_log import set_sink
+from edge_router.runtime.memory_budget import MemoryBudget
 from edge_router.runtime.timers import Timers
-from edge_router.transport.upstream_channel import Channel, Owner
+from edge_router.transport.upstream_channel import ChannelOwner, UpstreamChannel
 
 
 def test_statistics_line_counts_rejections_by_reason() -> None:
     lines: list[tuple[str, dict[str, object]]] = []
     clock, responses = Clock(lambda: 1000.0, lambda: 1000.0), list[exchange.FinalResponse]()
-    budget = Budget()
-    budget.most = 1e9
-    route = Route(settings_from(SETTINGS), 7, clock, Timers(clock, lambda: 0.0), budget, 0.0, fail_on_connect)
-    route.asked(
+    budget = MemoryBudget()
+    budget.limit = 1e9
+    route = RequestRouter(
+        settings_from_json(SETTINGS), 7, clock, Timers(clock, lambda: 0.0), budget, 0.0, fail_on_connect
+    )
+    route.on_request(
         exchange.IncomingRequest(
             "9b1f03aa5c7e2d41",
             "image",
@@ -37,15 +39,15 @@
             responses.append,
         )
     )
-    assert not route.decide()
-    divert(lambda event, fields: lines.append((event, fields)))
+    assert not route.run_decisions()
+    set_sink(lambda event, fields: lines.append((event, fields)))
     try:
-        route.book.line(**route.figures())
+        route.accounting.log_statistics(**route.statistics())
     finally:
-        divert(None)
+        set_sink(None)
     assert [response.status for response in responses] == [exchange.ResponseStatus.REJECTED]
     assert [(event, fields["refused_no_cache"]) for event, fields in lines] == [("stats", 1)]
 
 
-def fail_on_connect(owner: Owner, address: tuple[str, int], patience: float) -> Channel:
+def fail_on_connect(owner: ChannelOwner, address: tuple[str, int], patience: float) -> UpstreamChannel:
     raise AssertionError("there is nobody to connect to")
