--- a/edge_router/config/reload.py
+++ b/edge_router/config/reload.py
@@ -41,15 +41,15 @@
             except ConfigUnreadableError as error:
                 if str(error) != told:
                     told = str(error)
-                    log("reload-refused", why=told, next="tried again")
+                    log("configuration-rejected", reason=told, next="tried again")
             except ConfigError as error:
-                log("reload-refused", why=str(error))
+                log("configuration-rejected", reason=str(error))
                 return
             else:
                 self._apply(config)
                 return
             if trio.current_time() >= end:
-                log("reload-given-up", why=told)
+                log("configuration-reload-abandoned", reason=told)
                 return
             with trio.move_on_after(pause):
                 await self._requested.wait()
--- a/edge_router/decision/policy.py
+++ b/edge_router/decision/policy.py
@@ -496,11 +496,11 @@
     def statistics(self, now: float) -> dict[str, float]:
         """For the operators: what the decisions rest on now."""
         return {
-            "link_out": float(self._link.out),
-            "link_carries": self._link.carries,
-            "link_slowed": self._link.slowed(now),
+            "link_fills": float(self._link.out),
+            "link_capacity": self._link.carries,
+            "link_slowdown": self._link.slowed(now),
             "fill_wait": self._wait,
-            "origin_slowed": self._origin.slowed(now),
+            "origin_slowdown": self._origin.slowed(now),
             "retry_budget": self._hedges,
         }
 
--- a/edge_router/discovery/change_log_watcher.py
+++ b/edge_router/discovery/change_log_watcher.py
@@ -49,7 +49,11 @@
         while True:
             with trio.CancelScope() as self._scope:
                 await self._keep(sink)
-            log("changelog-moved", to=":".join(map(str, self._address)), last=self._decoder.last_sequence)
+            log(
+                "change-log-address-changed",
+                to=":".join(map(str, self._address)),
+                last_sequence=self._decoder.last_sequence,
+            )
 
     async def _keep(self, sink: DiscoveryListener) -> None:
         """Connects again and again, with a short back-off."""
@@ -62,9 +66,9 @@
             except (OSError, BufferFullError, ChangeLogError) as error:
                 why = str(error) or type(error).__name__
             except Exception as error:  # guards against one event that can't be worked off ending the process
-                log("bug", where="change log", error=repr(error))
+                log("internal-error", location="change log", error=repr(error))
                 why = "an event can't be worked off"
-            log("changelog-lost", last=self._decoder.last_sequence, why=why)
+            log("change-log-disconnected", last_sequence=self._decoder.last_sequence, reason=why)
             wait = BACK_OFF[0] if self._decoder.last_sequence != before else min(2 * wait, BACK_OFF[1])
             patience = min(2 * patience, CONNECT_WAIT[1]) if why == NOT_UP else CONNECT_WAIT[0]
             await trio.sleep(wait * self._random.uniform(1.0 - JITTER, 1.0))
@@ -77,7 +81,7 @@
                 await _send_all(sock, self._decoder.hello())
             if waiting.cancelled_caught:
                 return NOT_UP
-            log("changelog-up", last=self._decoder.last_sequence)
+            log("change-log-connected", last_sequence=self._decoder.last_sequence)
             return await self._take_frames(sock, sink)
 
     async def _take_frames(self, sock: trio.socket.SocketType, sink: DiscoveryListener) -> str:
--- a/edge_router/fault_injection/oracle.py
+++ b/edge_router/fault_injection/oracle.py
@@ -252,7 +252,12 @@
         if life.ready_at and life.ready_at - life.started_at > READY_WITHIN:
             yield Violation("slow-to-ready", life.router, "-", f"{life.ready_at - life.started_at:.1f} s")
         for line in life.log.splitlines():
-            if line.split(" ")[1:2] in (["bug"], ["rule-violation"], ["backstop"], ["task-failed"]):
+            if line.split(" ")[1:2] in (
+                ["internal-error"],
+                ["invariant-violation"],
+                ["backstop-timeout"],
+                ["task-failed"],
+            ):
                 yield Violation("log", life.router, "-", line[:200])
         if "Traceback" in life.log:
             yield Violation("log", life.router, "-", life.log[life.log.index("Traceback") :][-600:])
--- a/edge_router/model_checker/model/harness.py
+++ b/edge_router/model_checker/model/harness.py
@@ -132,9 +132,9 @@
 
     def on_log_line(self, event: str, fields: dict[str, object]) -> None:
         """The core has logged an event."""
-        if event == "bug":
+        if event == "internal-error":
             self.violated("no-slip", f"{fields.get('where')}: {fields.get('error')}")
-        elif event == "backstop" and not self.expired:
+        elif event == "backstop-timeout" and not self.expired:
             self.violated("decided", f"request {fields.get('req')} was left to the backstop")
 
     # -- connections to caches --
--- a/edge_router/proxy/accounting.py
+++ b/edge_router/proxy/accounting.py
@@ -46,20 +46,20 @@
             attempt.timeout_timer.cancel()
         self.counts[outcome.name.lower()] += 1
         if note:
-            self.counts[f"note_{FillResult(note).name.lower()}"] += 1
+            self.counts[f"fill_{FillResult(note).name.lower()}"] += 1
         request, order = attempt.request, attempt.instruction
         took = self._clock.now() - (attempt.sent_at or attempt.created_at)
         if outcome in TOLD:
             log_rate_limited(
                 "attempt-failed",
-                req=request.incoming.request_id,
+                request=request.incoming.request_id,
                 outcome=outcome.name.lower(),
-                node=f"s-{order.endpoint_id:08x}",
+                endpoint=f"s-{order.endpoint_id:08x}",
                 source=f"s-{order.source_id:08x}",
-                cls=request.incoming.class_name,
-                kb=request.incoming.size_kb,
-                note=note,
-                took=took,
+                class_name=request.incoming.class_name,
+                size_kb=request.incoming.size_kb,
+                fill_result=note,
+                duration_ms=took,
                 attempt=attempt.index,
             )
         self._post(
@@ -91,6 +91,6 @@
 
     def log_statistics(self, **more: object) -> None:
         """Writes what was counted since the last line."""
-        log("stats", **more, waited=self._max_queue_time, **dict(sorted(self.counts.items())))
+        log("stats", **more, max_queue_ms=self._max_queue_time, **dict(sorted(self.counts.items())))
         self.counts.clear()
         self._max_queue_time = 0.0
--- a/edge_router/proxy/dispatch.py
+++ b/edge_router/proxy/dispatch.py
@@ -180,10 +180,10 @@
         )
         if link is None:  # our own lack, which says nothing of the cache
             log_rate_limited(
-                "no-connection",
-                req=attempt.request.incoming.request_id,
-                node=f"s-{order.endpoint_id:08x}",
-                links=self.connection_count(),
+                "no-upstream-connection",
+                request=attempt.request.incoming.request_id,
+                endpoint=f"s-{order.endpoint_id:08x}",
+                upstream_connections=self.connection_count(),
             )
             self._accounting.attempt_ended(attempt, Outcome.NOT_SENT)
             return
@@ -206,7 +206,7 @@
         if len(links) < min(MOST_LINKS, fair) and (
             self.connection_count() < self.max_connections or self._make_room()
         ):
-            self._accounting.counts["connections_opened"] += 1
+            self._accounting.counts["upstream_connections_opened"] += 1
             link = UpstreamConnection(node, self, address, now)
             link.channel = self._connect(link, address, max(self._settings.connect_timeout, 1.0) / 1000.0)
             self._connections.setdefault(node, []).append(link)
@@ -250,12 +250,12 @@
             source_ready=order.source_id == order.endpoint_id or self._endpoints.is_ready(order.source_id),
         )
         if denied is not None:
-            self._accounting.counts[f"denied_{denied.value}"] += 1
+            self._accounting.counts[f"not_sent_{denied.value}"] += 1
             log_rate_limited(
-                "attempt-denied",
-                req=attempt.request.incoming.request_id,
-                why=denied.value,
-                node=f"s-{attempt.instruction.endpoint_id:08x}",
+                "attempt-not-sent",
+                request=attempt.request.incoming.request_id,
+                reason=denied.value,
+                endpoint=f"s-{attempt.instruction.endpoint_id:08x}",
                 attempt=attempt.index,
             )
             self._finish(attempt, Outcome.NOT_SENT)
@@ -293,14 +293,14 @@
         if link := self._connection_of.get(attempt):
             now = self._clock.now()
             log_rate_limited(
-                "attempt-late",
-                req=attempt.request.incoming.request_id,
-                node=f"s-{link.endpoint_id:08x}",
-                at=":".join(map(str, link.address)),
-                up=link.channel.connected,
-                opened_ms=now - link.opened_at,
-                heard_ms=now - link.last_received_at,
-                written_ms=now - attempt.sent_at if attempt.sent_at else -1.0,
+                "attempt-timeout",
+                request=attempt.request.incoming.request_id,
+                endpoint=f"s-{link.endpoint_id:08x}",
+                address=":".join(map(str, link.address)),
+                connected=link.channel.connected,
+                connection_age_ms=now - link.opened_at,
+                silent_ms=now - link.last_received_at,
+                sent_ago_ms=now - attempt.sent_at if attempt.sent_at else -1.0,
                 open=len(link.attempts),
             )
         self.cancel(attempt, Outcome.TIMEOUT if attempt.sent_at else Outcome.CONNECT_FAILED)
@@ -350,7 +350,10 @@
             self._connections.pop(link.endpoint_id, None)
         if link.attempts:
             log_rate_limited(
-                "connection-lost", node=f"s-{link.endpoint_id:08x}", open=len(link.attempts), why=why
+                "upstream-connection-lost",
+                endpoint=f"s-{link.endpoint_id:08x}",
+                open=len(link.attempts),
+                reason=why,
             )
         for attempt in list(link.attempts.values()):
             if attempt.ended:
--- a/edge_router/proxy/exchange.py
+++ b/edge_router/proxy/exchange.py
@@ -11,8 +11,8 @@
     """What an answer says."""
 
     SERVED = "served"
-    NOT_MODIFIED = "unchanged"  # the copy that the client holds is the one
-    REJECTED = "refused"  # trying again is harmless
+    NOT_MODIFIED = "not_modified"  # the copy that the client holds is the one
+    REJECTED = "rejected"  # trying again is harmless
     FAILED = "failed"
 
 
--- a/edge_router/proxy/fastcgi_frontend.py
+++ b/edge_router/proxy/fastcgi_frontend.py
@@ -79,7 +79,7 @@
             if self._router.requests.is_unanswered(asked.request_id):
                 raise BadRequestError(400, "X-Txn is that of an open request")
         except BadRequestError as error:
-            log_rate_limited("bad-request", status=error.status, why=str(error))
+            log_rate_limited("bad-request", status=error.status, reason=str(error))
             connection.send_response(
                 ident, _head(f"{error.status} {_REASONS[error.status]}", Content_Length=0), b""
             )
--- a/edge_router/proxy/invariants.py
+++ b/edge_router/proxy/invariants.py
@@ -1,7 +1,7 @@
 """Checks the rules at run time, where bytes leave the router, and counts what is broken.
 
-It trusts no decision: it looks at the attempts themselves. A violation is a line `rule-violation` with the
-request's id and a count `violation_RULE` in the statistics; the router goes on.
+It trusts no decision: it looks at the attempts themselves. A violation is a log line `invariant-violation` with
+the request's id and a count `violation_RULE` in the statistics; the router goes on.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
     def _broken(self, rule: str, request: ActiveRequest, detail: str = "") -> None:
         self._counts[f"violation_{rule}"] += 1
-        log_rate_limited("rule-violation", rule=rule, req=request.incoming.request_id, detail=detail)
+        log_rate_limited("invariant-violation", rule=rule, request=request.incoming.request_id, detail=detail)
 
     def check_send(self, attempt: Attempt, now: float, listed: bool) -> None:
         """An attempt's first byte is about to be written; `listed`: its cache and source are ready now."""
--- a/edge_router/proxy/request_router.py
+++ b/edge_router/proxy/request_router.py
@@ -100,7 +100,7 @@
         request = self.admission.admit(now, asked)
         if request is None:
             over = asked.time_unread >= asked.timeout
-            self.accounting.counts["refused_over" if over else "no_room"] += 1
+            self.accounting.counts["rejected_expired" if over else "rejected_no_capacity"] += 1
             asked.respond(FinalResponse(ResponseStatus.REJECTED, retry_after=self.admission.retry_after()))
             return None
         request.backstop_timer = self._timers.call_at(
@@ -127,7 +127,9 @@
         self.accounting.record_queue_time(now - came)
         if why := self.admission.shed_reason(now, came, asked.class_index):
             self.accounting.counts[f"shed_{why}"] += 1
-            log_rate_limited("refused", req=asked.request_id, why=f"shed_{why}", waited=now - came)
+            log_rate_limited(
+                "request-rejected", request=asked.request_id, reason=f"shed_{why}", queue_ms=now - came
+            )
             self.response_handler.respond(
                 request, FinalResponse(ResponseStatus.REJECTED, retry_after=self.admission.retry_after())
             )
@@ -199,13 +201,13 @@
             if node.started_at > 0:
                 self.dispatcher.on_endpoint_restarted(node.endpoint_id, node.started_at)
             log(
-                "node",
+                "endpoint",
                 id=f"s-{node.endpoint_id:08x}",
                 state=node.state.name.lower(),
-                kind=node.role,
+                role=node.role,
                 zone=node.zone,
-                started=f"{node.started_at:.0f}",
-                at=f"{member.host}:{member.port}",
+                started_at=f"{node.started_at:.0f}",
+                address=f"{member.host}:{member.port}",
             )
         self.dispatcher.close_removed_endpoints()
 
@@ -243,7 +245,11 @@
                     carry(action)
         except Exception as error:
             where = traceback.extract_tb(error.__traceback__)[-1]
-            log("bug", where=f"{where.filename.rpartition('/')[2]}:{where.lineno}", error=repr(error))
+            log(
+                "internal-error",
+                location=f"{where.filename.rpartition('/')[2]}:{where.lineno}",
+                error=repr(error),
+            )
             if isinstance(event, RequestReceived) and (request := self.requests.get(event.request_number)):
                 self._fail(Fail(request.request_number))
 
@@ -270,9 +276,12 @@
 
     def _refuse(self, act: Reject) -> None:
         if request := self.requests.get(act.request_number):
-            self.accounting.counts[f"refused_{act.reason}"] += 1
+            self.accounting.counts[f"rejected_{act.reason}"] += 1
             log_rate_limited(
-                "refused", req=request.incoming.request_id, why=act.reason, attempts=len(request.attempts)
+                "request-rejected",
+                request=request.incoming.request_id,
+                reason=act.reason,
+                attempts=len(request.attempts),
             )
             self.response_handler.respond(
                 request, FinalResponse(ResponseStatus.REJECTED, retry_after=act.retry_after)
@@ -291,7 +300,7 @@
         self._said = {text: at for text, at in self._said.items() if 0 <= now - at < SAID_FOR}
         if act.text not in self._said:
             self._said[act.text] = now
-            log("policy", text=act.text)
+            log("routing", text=act.text)
 
     # -- ends --
 
@@ -299,11 +308,13 @@
         """Guards against a request that nobody answers."""
         if not request.answered:
             if request.attempts:
-                log("backstop", req=request.incoming.request_id)
+                log("backstop-timeout", request=request.incoming.request_id)
             else:
-                self.accounting.counts["refused_over"] += 1
+                self.accounting.counts["rejected_expired"] += 1
                 log_rate_limited(
-                    "refused", req=request.incoming.request_id, why="its time was over before its decision"
+                    "request-rejected",
+                    request=request.incoming.request_id,
+                    reason="its time was over before its decision",
                 )
             self.response_handler.respond(request, self.response_without_decision(request))
             self.post(ClientDisconnected(request.request_number))
--- a/edge_router/proxy/response_handler.py
+++ b/edge_router/proxy/response_handler.py
@@ -86,7 +86,7 @@
     def client_disconnected(self, request: ActiveRequest) -> None:
         """The client has gone: no answer is owed."""
         request.answered = True
-        self._accounting.counts["left"] += 1
+        self._accounting.counts["client_disconnected"] += 1
         self._accounting.close_if_finished(request)
 
     def validate_response(self, attempt: Attempt, reply: CacheResponse) -> str:
@@ -115,10 +115,10 @@
             self._peer_clock.observe_copy(born, attempt.sent_at, self._clock.now())
         if outcome is Outcome.OK and (wrong := self._wrong(attempt, reply)):
             log_rate_limited(
-                "bad-copy",
-                req=attempt.request.incoming.request_id,
-                node=f"s-{attempt.instruction.endpoint_id:08x}",
-                why=wrong,
+                "invalid-response",
+                request=attempt.request.incoming.request_id,
+                endpoint=f"s-{attempt.instruction.endpoint_id:08x}",
+                reason=wrong,
             )
             outcome = Outcome.ERROR
         if outcome is Outcome.OK:
--- a/edge_router/runtime/peer_clock.py
+++ b/edge_router/runtime/peer_clock.py
@@ -77,7 +77,7 @@
         return list(self._early) if len(self._early) == MANY and span >= MANY_SPAN else []
 
     def _move(self, offset: float) -> None:
-        log("peer-time-moved", by_ms=offset - self._offset, wall_ms=self._clock.wall_offset())
+        log("peer-clock-adjusted", by_ms=offset - self._offset, wall_ms=self._clock.wall_offset())
         self._offset = offset
         self._early.clear()
         self._future.clear()
--- a/edge_router/runtime/timers.py
+++ b/edge_router/runtime/timers.py
@@ -94,4 +94,4 @@
         try:
             call()
         except Exception as error:
-            log("bug", where="timer", error=repr(error))
+            log("internal-error", location="timer", error=repr(error))
--- a/edge_router/server/server.py
+++ b/edge_router/server/server.py
@@ -123,7 +123,7 @@
         try:
             await task()
         except Exception as error:
-            log("bug", where="connection", error=repr(error))
+            log("internal-error", location="connection", error=repr(error))
 
     async def run(self, listener: socket.socket) -> None:
         """Serves until SIGTERM, and then finishes what was taken; reads its configuration anew on SIGHUP."""
@@ -146,7 +146,7 @@
                 "ready",
                 name=self._config.name,
                 listen=":".join(map(str, self._config.listen_address)),
-                nodes=len(self._route.endpoints),
+                endpoints=len(self._route.endpoints),
             )
             async for number in signals:
                 self._signalled(signal.Signals(number), listener)
@@ -154,11 +154,16 @@
     def _signalled(self, number: signal.Signals, listener: socket.socket) -> None:
         """Acts on a signal. Guards against one that comes during the stop and would cut it short."""
         if self._stopping:
-            log("signal-ignored", signal=number.name, why="stopping")
+            log("signal-ignored", signal=number.name, reason="stopping")
         elif number == signal.SIGHUP:
             self._reloader.request()
         else:
-            log("stopping", signal=number.name, open=len(self._route.requests), within=self._last_answer)
+            log(
+                "shutdown-started",
+                signal=number.name,
+                open=len(self._route.requests),
+                within_s=self._last_answer,
+            )
             self._stopping = True
             self._stop_by = trio.current_time() + self._last_answer
             self._nursery.start_soon(self._stop, listener)
@@ -177,15 +182,15 @@
         """
         ours, theirs = self._config.identity(), config.identity()
         if foreign := [part for part in ours if ours[part] != theirs[part]]:
-            log("reload-refused", why=f"the file is another router's, by its {', '.join(foreign)}")
+            log("configuration-rejected", reason=f"the file is another router's, by its {', '.join(foreign)}")
             return
         fixed = [
             name for name in ("pace", "settings") if getattr(config, name) != getattr(self._config, name)
         ]
         log(
-            "reloaded",
-            changelog=":".join(map(str, config.change_log_address)),
-            sockets=config.max_sockets,
+            "configuration-reloaded",
+            change_log=":".join(map(str, config.change_log_address)),
+            max_sockets=config.max_sockets,
             memory_mb=config.memory_mb,
             cores=config.cpu_cores,
             waits_for_restart=",".join(fixed) or "nothing",
@@ -219,7 +224,7 @@
         with trio.move_on_after(LAST_WRITE):
             while not self._over():
                 await trio.sleep(0.01)
-        log("stopped", open=len(self._route.requests))
+        log("shutdown-complete", open=len(self._route.requests))
 
     async def _take_last(self, listener: socket.socket, end: float) -> None:
         """Accepts what came up since, until there is none, beyond the places too.
@@ -233,7 +238,7 @@
             except BlockingIOError:
                 return
             except OSError as error:
-                log_rate_limited("accept-failed", why=error.strerror, clients=len(self._clients))
+                log_rate_limited("accept-failed", reason=error.strerror, clients=len(self._clients))
                 if trio.current_time() >= end:
                     return
                 await trio.sleep(0.01 if is_local_shortage(error) else 0)
@@ -250,13 +255,13 @@
             await trio.sleep(STATS_EVERY)
             late = (trio.current_time() - due) * 1000.0
             self._route.accounting.log_statistics(
-                open=len(self._route.requests),
+                requests=len(self._route.requests),
                 clients=len(self._clients),
-                links=self._route.dispatcher.connection_count(),
-                late=late,
-                held_kb=self._budget.used / 1e3,
+                upstream_connections=self._route.dispatcher.connection_count(),
+                loop_lag_ms=late,
+                reserved_kb=self._budget.used / 1e3,
                 resident_mb=self._memory.resident_mb(),
-                collections=gc.get_stats()[2]["collections"],
+                gc_collections=gc.get_stats()[2]["collections"],
                 cpu_ms=(time.process_time() - before) * 1000.0,
                 **self._route.statistics(),
             )
@@ -314,10 +319,10 @@
                 # Guards against running out of descriptors: wait, and let idle connections go.
                 lacking = error.errno in RESOURCE_EXHAUSTED
                 log_rate_limited(
-                    "no-descriptors" if lacking else "accept-failed",
-                    why=error.strerror,
+                    "descriptors-exhausted" if lacking else "accept-failed",
+                    reason=error.strerror,
                     clients=len(self._clients),
-                    links=self._route.dispatcher.connection_count(),
+                    upstream_connections=self._route.dispatcher.connection_count(),
                 )
                 if lacking:
                     self._make_room()
@@ -345,7 +350,7 @@
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                 why = await client.run()
                 if why not in USUAL_ENDS:
-                    log_rate_limited("client-lost", why=why)
+                    log_rate_limited("client-connection-error", reason=why)
             finally:
                 self._clients.discard(client)
 
--- a/edge_router/server/startup.py
+++ b/edge_router/server/startup.py
@@ -40,7 +40,7 @@
             time.sleep(PAUSE)
         else:
             if why:  # told afterwards: what lasts is one clear line of the caller's
-                log("start-delayed", why=why, by_ms=(time.monotonic() - began) * 1000.0)
+                log("start-delayed", reason=why, by_ms=(time.monotonic() - began) * 1000.0)
             return result
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -170,7 +170,7 @@
     unexpected = [
         line
         for router in running
-        for event in ("bug", "task-failed", "rule-violation")
+        for event in ("internal-error", "task-failed", "invariant-violation")
         for line in router.log_lines(event)
     ]
     for router in running:
@@ -184,7 +184,7 @@
     running = RouterHarness()
     yield running
     assert running.process.poll() is None, "the router died"
-    assert not running.log_lines("bug")
+    assert not running.log_lines("internal-error")
     running.close()
 
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -64,7 +64,7 @@
 def test_running_out_of_descriptors_does_not_stop_the_router() -> None:
     router = RouterHarness(descriptors=24)
     clients = [router.connect() for _ in range(60)]
-    router.wait_until(lambda: router.log_lines("no-descriptors"), "a line of the log")
+    router.wait_until(lambda: router.log_lines("descriptors-exhausted"), "a line of the log")
     for client in clients:
         client.sock.close()
         client._stream.close()
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -45,7 +45,7 @@
     client, (leaving, staying) = router.connect(), router.caches
     assert {fetch.cache for fetch in request_objects(router, client)} == {leaving, staying}
     router.change_log.send_event(2, ENDPOINT_CHANGES, router.endpoint_record(leaving, state))
-    router.wait_until(lambda: len(router.log_lines("node")) == 5, "the change")
+    router.wait_until(lambda: len(router.log_lines("endpoint")) == 5, "the change")
     assert {fetch.cache for fetch in request_objects(router, client)} == {staying}
 
 
@@ -54,7 +54,7 @@
     assert request_objects(router, client, 1)[0].fields["from"] == "s-00000020"
     parent = encode_endpoint(0x20, state=DRAINING)
     router.change_log.send_event(2, ENDPOINT_CHANGES, parent)
-    router.wait_until(lambda: len(router.log_lines("node")) == 5, "the change")
+    router.wait_until(lambda: len(router.log_lines("endpoint")) == 5, "the change")
     assert request_objects(router, client, 1)[0].fields["from"] == "s-00000030"
 
 
@@ -66,7 +66,7 @@
     new = encode_endpoint(0x99, old.listener.port, zone=1, machine_type=0)
     before = len(old.listener.accepted)
     router.change_log.send_event(2, ENDPOINT_CHANGES, router.endpoint_record(old, REMOVED) + new)
-    router.wait_until(lambda: len(router.log_lines("node")) == 6, "the change")
+    router.wait_until(lambda: len(router.log_lines("endpoint")) == 6, "the change")
     request_objects(router, client)
     assert len(old.listener.accepted) > before
 
@@ -78,7 +78,7 @@
     router.change_log.send_event(
         2, ENDPOINT_CHANGES, router.endpoint_record(old, UP, port=moved.listener.port)
     )
-    router.wait_until(lambda: len(router.log_lines("node")) == 5, "the change")
+    router.wait_until(lambda: len(router.log_lines("endpoint")) == 5, "the change")
     assert {fetch.cache for fetch in request_objects(router, client)} == {moved, router.caches[1]}
     moved.listener.close()
 
@@ -94,12 +94,14 @@
     router.change_log.send_event(
         2, ENDPOINT_CHANGES, router.endpoint_record(fetch.cache, UP, int(time.time() * 1000) + since)
     )
-    router.wait_until(lambda: len(router.log_lines("node")) == 5, "the endpoint update")
+    router.wait_until(lambda: len(router.log_lines("endpoint")) == 5, "the endpoint update")
     if lost:
-        router.wait_until(lambda: router.log_lines("connection-lost"), "the end of the connection")
+        router.wait_until(lambda: router.log_lines("upstream-connection-lost"), "the end of the connection")
         fetch = router.next_command()
     fetch.reply(body=b"here")
-    assert client.read_response().body == b"here" and bool(router.log_lines("connection-lost")) is lost
+    assert (
+        client.read_response().body == b"here" and bool(router.log_lines("upstream-connection-lost")) is lost
+    )
 
 
 @pytest.mark.parametrize("failure", ["closed", "gap", "unreadable", "silent", "trickling"])
@@ -119,12 +121,12 @@
 
         def given_up() -> bool:
             router.change_log.send_partial_frame_byte()
-            return bool(router.log_lines("changelog-lost"))
+            return bool(router.log_lines("change-log-disconnected"))
 
         router.wait_until(given_up, "the loss of the connection")
     assert router.change_log.resumed_from.get(timeout=TEST_TIMEOUT) == 2
     router.change_log.send_event(3, ENDPOINT_CHANGES, router.endpoint_record(router.caches[0], DRAINING))
-    router.wait_until(lambda: len(router.log_lines("node")) == 5, "the next event")
+    router.wait_until(lambda: len(router.log_lines("endpoint")) == 5, "the next event")
 
 
 def test_persistent_gap_is_closed_by_the_full_endpoint_list(router: RouterHarness) -> None:
@@ -138,7 +140,7 @@
         for cache, state in zip(router.caches, (DRAINING, UP), strict=True)
     )
     router.change_log.send_event(3, FULL_LIST, nodes)
-    router.wait_until(lambda: len(router.log_lines("node")) == 6, "the full endpoint list")
+    router.wait_until(lambda: len(router.log_lines("endpoint")) == 6, "the full endpoint list")
 
 
 @pytest.mark.parametrize("event", ["drain", "source", "purge"])
@@ -152,7 +154,7 @@
         ENDPOINT_CHANGES,
         router.endpoint_record(slow, UP, port=unresponsive.port) + router.endpoint_record(other, DRAINING),
     )
-    router.wait_until(lambda: len(router.log_lines("node")) == 6, "the first change")
+    router.wait_until(lambda: len(router.log_lines("endpoint")) == 6, "the first change")
     client.send_request(X_TTL_MS="30000")
     client.send_request(2, path="/svc/nothing")
     assert client.read_response().status == 404  # so the first request has been decided
@@ -175,7 +177,7 @@
             3, GROUP_PURGE, encode_group_purge(17 + (event == "source"), int(time.time() * 1000))
         )
         router.change_log.send_event(4, ENDPOINT_CHANGES, parent)
-        router.wait_until(lambda: len(router.log_lines("node")) == 7, "the change after the purge")
+        router.wait_until(lambda: len(router.log_lines("endpoint")) == 7, "the change after the purge")
         fields = unresponsive.accept_connection().recv(1000)
         assert (b"oldest=" in fields, b"from=s-00000030" in fields) == (event == "purge", event == "source")
     unresponsive.close()
@@ -189,5 +191,5 @@
     router.change_log.send_event(9, 77, b"?")
     nodes = b"".join(router.endpoint_record(cache, UP) for cache in router.caches)
     router.change_log.send_event(10, FULL_LIST, nodes + encode_endpoint(0x30, machine_type=2))
-    router.wait_until(lambda: len(router.log_lines("node")) == 4 + 14 + 3, "the full endpoint list")
+    router.wait_until(lambda: len(router.log_lines("endpoint")) == 4 + 14 + 3, "the full endpoint list")
     assert {fetch.fields["from"] for fetch in request_objects(router, client)} == {"s-00000030"}
--- a/tests/test_example.py
+++ b/tests/test_example.py
@@ -56,7 +56,9 @@
     depot = running(str(EXAMPLES / "toy_server.py"), str(config), said="toy depot is up", on="stdout")
     with (
         depot as toy,
-        running("-m", "edge_router", said="changelog-up", on="stderr", RELAY_CONFIG=str(config)) as router,
+        running(
+            "-m", "edge_router", said="change-log-connected", on="stderr", RELAY_CONFIG=str(config)
+        ) as router,
     ):
         for note in ("filled", "hit"):
             answer = ask(found[1], "item-image", "7f3a9c21e0b4d655")
--- a/tests/test_fastcgi_frontend.py
+++ b/tests/test_fastcgi_frontend.py
@@ -34,7 +34,7 @@
     assert client.is_closed()
     fetch.reply()
     assert other.read_response().status == 200
-    router.wait_until(lambda: router.log_lines("client-lost"), "a line of the log")
+    router.wait_until(lambda: router.log_lines("client-connection-error"), "a line of the log")
 
 
 @pytest.mark.parametrize(
--- a/tests/test_invalid_responses.py
+++ b/tests/test_invalid_responses.py
@@ -46,7 +46,9 @@
         again.reply(body=b"whole")
     response = client.read_response()
     assert response.status == status and router.commands.empty()
-    assert response.body == (b"whole" if status == 200 else b"") and router.log_lines("connection-lost")
+    assert response.body == (b"whole" if status == 200 else b"") and router.log_lines(
+        "upstream-connection-lost"
+    )
 
 
 @pytest.mark.parametrize(
@@ -73,7 +75,7 @@
             fetch.reply(body=body)
         assert client.read_response().body == b"first"
         used.add(fetch.sock)
-    assert len(used) == 1 and not router.log_lines("connection-lost")
+    assert len(used) == 1 and not router.log_lines("upstream-connection-lost")
 
 
 def test_late_or_duplicate_response_is_dropped(router: RouterHarness) -> None:
@@ -103,7 +105,7 @@
     client.send_request(**parameters)
     router.next_command().reply(status, b"", **fields)
     router.next_command().reply(body=b"good")
-    assert client.read_response().body == b"good" and len(router.log_lines("bad-copy")) == 1
+    assert client.read_response().body == b"good" and len(router.log_lines("invalid-response")) == 1
 
 
 def test_not_modified_requires_a_version_from_the_cache(router: RouterHarness) -> None:
--- a/tests/test_purges.py
+++ b/tests/test_purges.py
@@ -40,7 +40,7 @@
     client, moment = router.connect(), int(time.time() * 1000)
     router.change_log.send_event(2, GROUP_PURGE, encode_group_purge(17, moment))
     router.change_log.send_event(3, ENDPOINT_CHANGES, router.endpoint_record(router.caches[0], UP))
-    router.wait_until(lambda: len(router.log_lines("node")) == 5, "the change after the purge")
+    router.wait_until(lambda: len(router.log_lines("endpoint")) == 5, "the change after the purge")
     client.send_request()
     router.next_command().reply(body=b"old", born=moment - 5000)
     router.next_command().reply(body=b"new")
@@ -61,7 +61,7 @@
     assert router.next_command("abort").command == "abort"
     router.change_log.send_event(2, GROUP_PURGE, encode_group_purge(17, int((time.time() - 3600) * 1000)))
     router.change_log.send_event(3, ENDPOINT_CHANGES, router.endpoint_record(router.caches[0], UP))
-    router.wait_until(lambda: len(router.log_lines("node")) == 5, "the change after the purge")
+    router.wait_until(lambda: len(router.log_lines("endpoint")) == 5, "the change after the purge")
     client.send_request()
     assert int(router.next_command().fields["oldest"]) < 1_000_000
     router.close()
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -95,7 +95,7 @@
         ENDPOINT_CHANGES,
         router.endpoint_record(slow, UP, port=unresponsive.port) + router.endpoint_record(other, DRAINING),
     )
-    router.wait_until(lambda: len(router.log_lines("node")) == 6, "the change")
+    router.wait_until(lambda: len(router.log_lines("endpoint")) == 6, "the change")
     left, stays = router.connect(), router.connect()
     left.send_request(1, X_TXN="00000000000000aa", X_TTL_MS="30000")
     wait_for_decisions(left)
@@ -180,7 +180,7 @@
     router.change_log.listener.accepted[-1].shutdown(socket.SHUT_RDWR)
     assert router.change_log.resumed_from.get(timeout=TEST_TIMEOUT) == 1
     router.change_log.send_event(2, ENDPOINT_CHANGES, router.endpoint_record(router.caches[0], DRAINING))
-    router.wait_until(lambda: len(router.log_lines("node")) == 5, "the next event")
+    router.wait_until(lambda: len(router.log_lines("endpoint")) == 5, "the next event")
     for fetch in fetches:
         fetch.reply(body=b"served")
     assert {client.read_response().body for client in busy} == {b"served"}
@@ -300,7 +300,7 @@
     whole = client.encode_request(path="/status/live")
     client.sock.sendall(whole[:40])  # so that the connection is not at rest
     router.process.send_signal(signal.SIGTERM)
-    router.wait_until(lambda: router.log_lines("stopping"), "the shutdown")
+    router.wait_until(lambda: router.log_lines("shutdown-started"), "the shutdown")
     client.sock.sendall(whole[40:])
     assert client.read_response().status == 503
 
@@ -322,7 +322,7 @@
     router.change_log.send_event(
         2, ENDPOINT_CHANGES, router.endpoint_record(other, UP, port=unresponsive.port)
     )
-    router.wait_until(lambda: len(router.log_lines("node")) == 5, "the change")
+    router.wait_until(lambda: len(router.log_lines("endpoint")) == 5, "the change")
     first.reply("500")
     wait_for_decisions(probe)
     assert connections_to(unresponsive) == 1  # the repeat was ordered within its window
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -74,12 +74,12 @@
     router.change_log.send_event(
         2, ENDPOINT_CHANGES, router.endpoint_record(router.caches[0], UP, port=unresponsive.port)
     )
-    router.wait_until(lambda: len(router.log_lines("node")) == 5, "the change")
+    router.wait_until(lambda: len(router.log_lines("endpoint")) == 5, "the change")
     for number in range(8):  # about half of them have their home cache there
         client.send_request(X_ROW=f"{number + 1:016x}", **WRITE_REQUEST)
         router.next_command().reply()
         assert client.read_response().status == 200
-    assert any("not up in time" in line for line in router.log_lines("connection-lost"))
+    assert any("not up in time" in line for line in router.log_lines("upstream-connection-lost"))
     unresponsive.close()
 
 
@@ -110,7 +110,7 @@
     """A request that was not sent is retried on another connection, a write as well: it was not executed."""
     client, home = router.connect(), router.caches[0]
     router.change_log.send_event(2, ENDPOINT_CHANGES, router.endpoint_record(router.caches[1], REMOVED))
-    router.wait_until(lambda: len(router.log_lines("node")) == 5, "only one cache is left")
+    router.wait_until(lambda: len(router.log_lines("endpoint")) == 5, "only one cache is left")
     for _ in range(4):
         client.send_request(**WRITE_REQUEST)
         fetch = router.next_command()
@@ -118,7 +118,7 @@
         assert client.read_response().status == 200
         fetch.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         fetch.sock.shutdown(2)
-    assert len(home.listener.accepted) == 4 and not router.log_lines("policy")
+    assert len(home.listener.accepted) == 4 and not router.log_lines("routing")
 
 
 def test_occasional_connection_loss_does_not_eject_the_cache(router: RouterHarness) -> None:
@@ -132,7 +132,7 @@
         assert again.cache is home.cache
         again.reply()
         assert client.read_response().status == 200
-    assert not router.log_lines("policy")
+    assert not router.log_lines("routing")
 
 
 def test_simultaneous_connection_loss_does_not_eject_the_cache(router: RouterHarness) -> None:
@@ -147,4 +147,4 @@
         again = router.next_command()
         assert again.cache is fetches[0].cache
         again.reply()
-    assert {client.read_response().status for _ in fetches} == {200} and not router.log_lines("policy")
+    assert {client.read_response().status for _ in fetches} == {200} and not router.log_lines("routing")
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -21,7 +21,9 @@
     router.process.send_signal(signal.SIGTERM)
     assert is_rejection(client.read_response())
     assert router.process.wait(TEST_TIMEOUT) == 0
-    assert router.log_lines("stopping")[0].endswith(f" within={within}") and router.log_lines("stopped")
+    assert router.log_lines("shutdown-started")[0].endswith(f" within_s={within}") and router.log_lines(
+        "shutdown-complete"
+    )
     router.close()
 
 
@@ -32,7 +34,7 @@
     early.send_request()
     held = router.next_command()
     router.process.send_signal(signal.SIGTERM)
-    router.wait_until(lambda: router.log_lines("stopping"), "the shutdown")
+    router.wait_until(lambda: router.log_lines("shutdown-started"), "the shutdown")
     late = router.connect()
     late.send_request()
     router.next_command().reply(body=b"late")
@@ -53,7 +55,7 @@
     late = router.connect()
     late.send_request(X_ROW="0123456789abcdef")
     router.process.send_signal(signal.SIGTERM)
-    router.wait_until(lambda: router.log_lines("stopping"), "the shutdown")
+    router.wait_until(lambda: router.log_lines("shutdown-started"), "the shutdown")
     for fetch in fetches:
         fetch.reply(body=b"held")
     assert {client.read_response().body for client in held} == {b"held"}
--- a/tests/test_statistics.py
+++ b/tests/test_statistics.py
@@ -46,7 +46,7 @@
     finally:
         set_sink(None)
     assert [response.status for response in responses] == [exchange.ResponseStatus.REJECTED]
-    assert [(event, fields["refused_no_cache"]) for event, fields in lines] == [("stats", 1)]
+    assert [(event, fields["rejected_no_cache"]) for event, fields in lines] == [("stats", 1)]
 
 
 def fail_on_connect(owner: ChannelOwner, address: tuple[str, int], patience: float) -> UpstreamChannel:
--- a/tests/test_system_call_failures.py
+++ b/tests/test_system_call_failures.py
@@ -74,7 +74,7 @@
     moment = int(time.time() * 1000)
     router.change_log.send_event(2, GROUP_PURGE, encode_group_purge(17, moment))
     router.change_log.send_event(3, ENDPOINT_CHANGES, router.endpoint_record(router.caches[0], UP))
-    router.wait_until(lambda: len(router.log_lines("node")) == 5, "the change after the purge")
+    router.wait_until(lambda: len(router.log_lines("endpoint")) == 5, "the change after the purge")
     client.send_request(2)
     fetch = router.next_command()
     assert time.time() * 1000 - int(fetch.fields["oldest"]) >= moment
@@ -98,7 +98,7 @@
         client.request(request_id=ident, path="/svc/page", X_TTL_MS="2000").status for ident in range(1, 8)
     ]
     assert statuses[2:] == [200] * 5
-    assert len(router.log_lines("peer-time-moved")) == 1
+    assert len(router.log_lines("peer-clock-adjusted")) == 1
 
 
 # -- transient failures --
@@ -173,15 +173,15 @@
 def test_reload_is_retried_when_its_file_cannot_be_opened(
     start_router: Callable[..., RouterHarness], tmp_path: Path
 ) -> None:
-    flag = tmp_path / "no-descriptors"
+    flag = tmp_path / "descriptors-exhausted"
     router = start_router(faults=[Fault(Call.OPEN, "EMFILE", path="config.json", flag=str(flag))])
     flag.touch()
     changed = {**router.config, "limits": {**router.config["limits"], "sockets": 99}}
     router.reload(json.dumps(changed))
-    router.wait_until(lambda: router.log_lines("reload-refused"), "the failure")
+    router.wait_until(lambda: router.log_lines("configuration-rejected"), "the failure")
     flag.unlink()
-    router.wait_until(lambda: router.log_lines("reloaded"), "the reload")
-    assert "sockets=99" in router.log_lines("reloaded")[0]
+    router.wait_until(lambda: router.log_lines("configuration-reloaded"), "the reload")
+    assert "sockets=99" in router.log_lines("configuration-reloaded")[0]
 
 
 # -- shutdown and startup --
@@ -216,14 +216,14 @@
     client.send_request()
     fetch = router.next_command()
     router.process.send_signal(signal.SIGTERM)
-    router.wait_until(lambda: router.log_lines("stopping"), "the shutdown")
+    router.wait_until(lambda: router.log_lines("shutdown-started"), "the shutdown")
     for _ in range(3):
         router.process.send_signal(number)
         time.sleep(0.05)
     fetch.reply(body=b"whole")
     assert client.read_response().body == b"whole"
     assert router.process.wait(TEST_TIMEOUT) == 0
-    assert router.log_lines("stopped")
+    assert router.log_lines("shutdown-complete")
 
 
 @pytest.mark.parametrize(
@@ -265,7 +265,7 @@
     flag.unlink()
     router.next_command().reply(body=b"good")
     assert client.read_response().body == b"good"
-    assert not router.log_lines("policy")
+    assert not router.log_lines("routing")
 
 
 @pytest.mark.parametrize("call", [Call.SEND, Call.RECEIVE])
@@ -278,7 +278,9 @@
     assert fetch_status(router, client) == 200
     flag.touch()
     assert [fetch_status(router, client, ident) for ident in range(2, 8)] == [200] * 6
-    assert not router.log_lines("connection-lost") and not router.log_lines("client-lost")
+    assert not router.log_lines("upstream-connection-lost") and not router.log_lines(
+        "client-connection-error"
+    )
 
 
 def test_endpoint_list_received_over_seconds_is_accepted(start_router: Callable[..., RouterHarness]) -> None:
@@ -293,5 +295,5 @@
     for place in range(10):
         sock.sendall(data[place * len(data) // 10 : (place + 1) * len(data) // 10])
         time.sleep(0.4)
-    router.wait_until(lambda: len(router.log_lines("node")) == 4 + 3002, "the full endpoint list")
-    assert router.change_log.resumed_from.empty() and not router.log_lines("changelog-lost")
+    router.wait_until(lambda: len(router.log_lines("endpoint")) == 4 + 3002, "the full endpoint list")
+    assert router.change_log.resumed_from.empty() and not router.log_lines("change-log-disconnected")
