--- a/stonecove/soak/__init__.py
+++ b/stonecove/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized fault soak: real router processes, faulty stand-ins around them, an oracle outside."""
+"""Randomized fault injection: real router processes among faulty peers, judged by an oracle from outside."""
--- a/tests/stand.py
+++ b/tests/stand.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from stonecove.soak.plan import PLAN_VARIABLE, Fault, FaultPlan
+from stonecove.soak.system_call_faults import FAULTS_VARIABLE, SystemCallFault, FaultSchedule
 
 PATIENCE = 30.0  # generous: nothing here measures speed
 SETTINGS: dict[str, Any] = {
@@ -312,7 +312,7 @@
         memory_mb: float = 192,
         sockets: int = 1024,
         env: dict[str, str] | None = None,
-        faults: Sequence[Fault] = (),
+        faults: Sequence[SystemCallFault] = (),
         **settings: Any,
     ) -> None:
         self.commands: queue.Queue[Fetch] = queue.Queue()
@@ -335,8 +335,8 @@
         self._descriptors, self._env = descriptors, env or {}
         self._module = "stonecove"
         if faults:
-            self._module = "stonecove.soak.shim"
-            self._env[PLAN_VARIABLE] = FaultPlan(list(faults)).to_json()
+            self._module = "stonecove.soak.faulty_router"
+            self._env[FAULTS_VARIABLE] = FaultSchedule(list(faults)).to_json()
         self.process = self.start()
 
     @staticmethod
--- a/tests/test_hostile_system.py
+++ b/tests/test_hostile_system.py
@@ -20,7 +20,7 @@
 import pytest
 
 from stand import PATIENCE, SETTINGS, Client, Stand
-from stonecove.soak.plan import Call, Fault
+from stonecove.soak.system_call_faults import SystemCall, SystemCallFault
 
 
 def fetched(stand: Stand, client: Client, ident: int = 1, **what: Any) -> int:
@@ -39,7 +39,7 @@
 ) -> None:
     flag = tmp_path / "stepped"
     classes = [{**entry, "on_time": 400.0} for entry in SETTINGS["classes"]]
-    stand = start(faults=[Fault(Call.CLOCK, step=step, flag=str(flag))], classes=classes)
+    stand = start(faults=[SystemCallFault(SystemCall.CLOCK, step=step, flag=str(flag))], classes=classes)
     client = stand.client()
     assert fetched(stand, client) == 200
     flag.touch()
@@ -56,7 +56,7 @@
     start: Callable[..., Stand], tmp_path: Path, step: float
 ) -> None:
     flag = tmp_path / "stepped"
-    stand = start(faults=[Fault(Call.CLOCK, step=step, flag=str(flag))])
+    stand = start(faults=[SystemCallFault(SystemCall.CLOCK, step=step, flag=str(flag))])
     client = stand.client()
     assert fetched(stand, client) == 200
     flag.touch()
@@ -74,7 +74,7 @@
 
 def test_a_clock_that_was_wrong_at_the_start_is_found_out(start: Callable[..., Stand]) -> None:
     """Copies that the origin gave out just now show how far our clock is off."""
-    stand = start(faults=[Fault(Call.CLOCK, step=3600.0, end=math.inf)])
+    stand = start(faults=[SystemCallFault(SystemCall.CLOCK, step=3600.0, end=math.inf)])
     client = stand.client()
 
     def serve() -> None:
@@ -105,25 +105,25 @@
 def test_statistics_that_cannot_be_read_end_nothing(start: Callable[..., Stand], error: str) -> None:
     """The span includes the writing of a statistics line."""
     now = time.monotonic()
-    serves_after(start(faults=[Fault(Call.OPEN, error, now + 2.0, now + 7.5)]), now + 7.7)
+    serves_after(start(faults=[SystemCallFault(SystemCall.OPEN, error, now + 2.0, now + 7.5)]), now + 7.7)
 
 
 @pytest.mark.parametrize(
     "call, error",
     [
-        (Call.SOCKET, "ENFILE"),
-        (Call.ACCEPT, "ECONNABORTED"),
-        (Call.ACCEPT, "ENOBUFS"),
-        (Call.ACCEPT, "EPROTO"),
-        (Call.CONNECT, "ENOBUFS"),
-        (Call.CONNECT, "EADDRNOTAVAIL"),
+        (SystemCall.SOCKET, "ENFILE"),
+        (SystemCall.ACCEPT, "ECONNABORTED"),
+        (SystemCall.ACCEPT, "ENOBUFS"),
+        (SystemCall.ACCEPT, "EPROTO"),
+        (SystemCall.CONNECT, "ENOBUFS"),
+        (SystemCall.CONNECT, "EADDRNOTAVAIL"),
     ],
 )
 def test_calls_that_fail_for_a_moment_end_nothing(
-    start: Callable[..., Stand], call: Call, error: str
+    start: Callable[..., Stand], call: SystemCall, error: str
 ) -> None:
     now = time.monotonic()
-    serves_after(start(faults=[Fault(call, error, now + 1.5, now + 2.0)]), now + 2.2)
+    serves_after(start(faults=[SystemCallFault(call, error, now + 1.5, now + 2.0)]), now + 2.2)
 
 
 # -- the log --
@@ -159,7 +159,7 @@
     start: Callable[..., Stand], tmp_path: Path
 ) -> None:
     flag = tmp_path / "no-descriptors"
-    stand = start(faults=[Fault(Call.OPEN, "EMFILE", path="config.json", flag=str(flag))])
+    stand = start(faults=[SystemCallFault(SystemCall.OPEN, "EMFILE", path="config.json", flag=str(flag))])
     flag.touch()
     changed = {**stand.config, "limits": {**stand.config["limits"], "sockets": 99}}
     stand.reload(json.dumps(changed))
@@ -176,7 +176,9 @@
     start: Callable[..., Stand], tmp_path: Path
 ) -> None:
     flag = tmp_path / "aborted"
-    stand = start(sockets=16, faults=[Fault(Call.ACCEPT, "ECONNABORTED", flag=str(flag), chance=0.7)])
+    stand = start(
+        sockets=16, faults=[SystemCallFault(SystemCall.ACCEPT, "ECONNABORTED", flag=str(flag), chance=0.7)]
+    )
     held = [stand.client() for _ in range(8)]  # all places
     for client in held:
         client.send(path="/svc/confirm", X_TTL_MS="60000")
@@ -213,13 +215,17 @@
 
 @pytest.mark.parametrize(
     "call, error, path",
-    [(Call.SOCKET, "ENFILE", ""), (Call.OPEN, "EMFILE", "config.json"), (Call.OPEN, "EIO", "config.json")],
+    [
+        (SystemCall.SOCKET, "ENFILE", ""),
+        (SystemCall.OPEN, "EMFILE", "config.json"),
+        (SystemCall.OPEN, "EIO", "config.json"),
+    ],
 )
 def test_a_call_that_fails_at_the_start_is_made_again(
-    start: Callable[..., Stand], call: Call, error: str, path: str
+    start: Callable[..., Stand], call: SystemCall, error: str, path: str
 ) -> None:
     now = time.monotonic()
-    stand = start(faults=[Fault(call, error, now, now + 1.0, path=path)])
+    stand = start(faults=[SystemCallFault(call, error, now, now + 1.0, path=path)])
     assert fetched(stand, stand.client()) == 200
     assert stand.lines("start-delayed")
 
@@ -230,18 +236,18 @@
 @pytest.mark.parametrize(
     "call, error",
     [
-        (Call.SOCKET, "ENFILE"),
-        (Call.SOCKET, "ENOBUFS"),
-        (Call.CONNECT, "EADDRNOTAVAIL"),
-        (Call.CONNECT, "ENETUNREACH"),
-        (Call.CONNECT, "ENOBUFS"),
+        (SystemCall.SOCKET, "ENFILE"),
+        (SystemCall.SOCKET, "ENOBUFS"),
+        (SystemCall.CONNECT, "EADDRNOTAVAIL"),
+        (SystemCall.CONNECT, "ENETUNREACH"),
+        (SystemCall.CONNECT, "ENOBUFS"),
     ],
 )
 def test_a_lack_of_our_own_is_waited_out_and_blames_no_cache(
-    start: Callable[..., Stand], tmp_path: Path, call: Call, error: str
+    start: Callable[..., Stand], tmp_path: Path, call: SystemCall, error: str
 ) -> None:
     flag = tmp_path / "lacking"
-    stand = start(faults=[Fault(call, error, flag=str(flag))])
+    stand = start(faults=[SystemCallFault(call, error, flag=str(flag))])
     client = stand.client()
     assert client.ask(path="/status/live").status == 200
     flag.touch()
@@ -253,12 +259,12 @@
     assert not stand.lines("policy")
 
 
-@pytest.mark.parametrize("call", [Call.SEND, Call.RECEIVE])
+@pytest.mark.parametrize("call", [SystemCall.SEND, SystemCall.RECEIVE])
 def test_buffers_that_lack_for_a_moment_end_no_connection(
-    start: Callable[..., Stand], tmp_path: Path, call: Call
+    start: Callable[..., Stand], tmp_path: Path, call: SystemCall
 ) -> None:
     flag = tmp_path / "lacking"
-    stand = start(faults=[Fault(call, "ENOBUFS", flag=str(flag), chance=0.5)])
+    stand = start(faults=[SystemCallFault(call, "ENOBUFS", flag=str(flag), chance=0.5)])
     client = stand.client()
     assert fetched(stand, client) == 200
     flag.touch()
--- a/tests/test_unread_input.py
+++ b/tests/test_unread_input.py
@@ -16,7 +16,7 @@
 import pytest
 
 from stand import SETTINGS, Client, Fetch, Stand, record
-from stonecove.soak.plan import Call, Fault
+from stonecove.soak.system_call_faults import SystemCall, SystemCallFault
 
 EXCESS = 150  # ms by which the limit passed on may exceed what the client has left
 UNREAD = 0.6  # seconds
@@ -119,7 +119,7 @@
 ) -> None:
     """Accepting fails for a while, as without descriptors; meanwhile one connection gets one request more."""
     flag = tmp_path / "no-buffers"
-    stand = start(faults=[Fault(Call.ACCEPT, "ENOBUFS", flag=str(flag))])
+    stand = start(faults=[SystemCallFault(SystemCall.ACCEPT, "ENOBUFS", flag=str(flag))])
     flag.touch()
     time.sleep(0.1)
     client, sent = stand.client(), {}
