--- a/stonecove/soak/protocol.py
+++ b/stonecove/soak/protocol.py
@@ -141,18 +141,32 @@
     )
 
 
+class RecordHeader(NamedTuple):
+    """The first 8 bytes of a FastCGI record."""
+
+    record_type: int
+    fastcgi_id: int
+    content_length: int
+    padding_length: int
+
+
+def decode_record_header(header: bytes) -> RecordHeader:
+    """The header of a record; raises ProtocolError for another version of the protocol."""
+    version, record_type, fastcgi_id, content_length, padding_length, _ = _RECORD_HEADER.unpack(header)
+    if version != 1:
+        raise ProtocolError(f"version {version}")
+    return RecordHeader(record_type, fastcgi_id, content_length, padding_length)
+
+
 async def read_records(reader: StreamReader) -> AsyncIterator[Record]:
     """The records of a connection until it ends."""
     while True:
         try:
-            header = await reader.exactly(_RECORD_HEADER.size)
+            header = decode_record_header(await reader.exactly(_RECORD_HEADER.size))
         except EOFError:
             return
-        version, record_type, fastcgi_id, length, padding, _ = _RECORD_HEADER.unpack(header)
-        if version != 1:
-            raise ProtocolError(f"version {version}")
-        content = await reader.exactly(length + padding)
-        yield Record(record_type, fastcgi_id, content[:length])
+        content = await reader.exactly(header.content_length + header.padding_length)
+        yield Record(header.record_type, header.fastcgi_id, content[: header.content_length])
 
 
 class Response(NamedTuple):
--- a/stonecove/standins/__init__.py
+++ b/stonecove/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the outside systems, written from their published protocols. Loopback only."""
+"""Simulated peers of one router on the loopback address: its caches and change log, and a client."""
