--- a/stonecove/soak/faulty_router.py
+++ b/stonecove/soak/faulty_router.py
@@ -53,7 +53,7 @@
         self,
         family: int = -1,
         type: int = -1,
-        proto: int = -1,  # noqa: A002
+        proto: int = -1,
         fileno: int | None = None,
     ) -> None:
         if (
@@ -75,24 +75,29 @@
         return 1
 
     def accept(self) -> tuple[socket.socket, Any]:
+        """As in `socket`; raises OSError while the call has a fault."""
         self._fault(SystemCall.ACCEPT)
         return super().accept()
 
     def connect(self, address: Any, /) -> None:
+        """As in `socket`; raises OSError while the call has a fault."""
         self._fault(SystemCall.CONNECT)
         super().connect(address)
 
     def send(self, data: Readable, flags: int = 0, /) -> int:  # type: ignore[override]
+        """As in `socket`; raises OSError or sends a single byte while the call has a fault."""
         limit = self._fault(SystemCall.SEND)
         return super().send(data if limit is None else memoryview(data)[:limit], flags)
 
     def recv(self, size: int, flags: int = 0, /) -> bytes:
+        """As in `socket`; raises OSError or receives a single byte while the call has a fault."""
         limit = self._fault(SystemCall.RECEIVE)
         return super().recv(size if limit is None else min(size, limit), flags)
 
     def recv_into(  # type: ignore[override]
         self, buffer: Writable, nbytes: int = 0, flags: int = 0
     ) -> int:
+        """As in `socket`; raises OSError or receives a single byte while the call has a fault."""
         limit = self._fault(SystemCall.RECEIVE)
         return super().recv_into(buffer, nbytes if limit is None else limit, flags)
 
--- a/stonecove/soak/messages.py
+++ b/stonecove/soak/messages.py
@@ -58,7 +58,8 @@
     port: int | None = None
 
     def __post_init__(self) -> None:
-        self.kind = FaultKind(self.kind)  # JSON gives the value alone
+        """Restores the kind, of which JSON holds only the value."""
+        self.kind = FaultKind(self.kind)
 
 
 @dataclass(slots=True)
