--- a/stonecove/soak/router_config.py
+++ b/stonecove/soak/router_config.py
@@ -50,7 +50,7 @@
         "cell": 0,
         "zone": ZONES[endpoint.zone],
         "lifecycle": endpoint.state.lifecycle,
-        "weight": endpoint.weight,
+        "weight": endpoint.weight / 1000.0,  # thousandths only in the change log
         "startedAtMs": endpoint.started_ms,
     }
 
