--- a/benchmarks/run_cost.py
+++ b/benchmarks/run_cost.py
@@ -1,92 +1,130 @@
 """CPU a request and memory at ready of the router, against another checkout, in turns in the same run.
 
-python -m benchmarks.run_cost [--short] [--against DIR]
+    python -m benchmarks.run_cost [--short] [--against DIR]
+
+Each checkout is started by the `run` command of its own deploy file. A checkout without an environment of its
+own gets the running interpreter.
 """
 
 from __future__ import annotations
 
-import json
+import argparse
 import os
-import subprocess
+import shlex
 import sys
-import tempfile
 import time
+import tomllib
+from dataclasses import dataclass
 from pathlib import Path
 from statistics import median
 
-from edge_router.cli.demo import Asker, free_port, settings, wait_ready
-from edge_router.fault_injection.depot import Depot
+from edge_router.fault_injection.fastcgi_client import FastCgiClient
+from edge_router.fault_injection.local_router import READ_CLASS, LocalRouter
+from edge_router.fault_injection.simulated_backends import SimulatedBackends
 
 HERE = Path(__file__).parent.parent
-TICKS = os.sysconf("SC_CLK_TCK")
-
-
-def _cpu(pid: int) -> float:
-    fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
-
-
-def _resident(pid: int) -> float:
-    pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
-    return pages * os.sysconf("SC_PAGE_SIZE") / 1e6
-
-
-def once(checkout: Path, requests: int) -> tuple[float, float]:
-    """Microseconds of CPU a request, and MB at ready."""
-    depot, port = Depot(caches=3), free_port()
-    config = {
-        "name": "cost",
-        "listen": f"127.0.0.1:{port}",
-        "seed": "7",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512},
-        "changelog": f"127.0.0.1:{depot.log_port}",
-        "known": depot.known(),
-        "settings": settings(),
-    }
-    with tempfile.TemporaryDirectory() as folder:
-        path = Path(folder, "config.json")
-        path.write_text(json.dumps(config))
-        environ = {**os.environ, "RELAY_CONFIG": str(path), "PYTHONPATH": str(checkout)}
-        router = subprocess.Popen(
-            [sys.executable, "-m", "edge_router"], cwd=checkout, env=environ, stderr=subprocess.DEVNULL
-        )
-        try:
-            wait_ready(port, router)
-            resident, asker = _resident(router.pid), Asker(port)
-            for number in range(200):
-                asker.ask_item(number, number % 20 + 1)
-            before = _cpu(router.pid)
-            for number in range(200, 200 + requests):
-                asker.ask_item(number, number % 20 + 1)
-            return (_cpu(router.pid) - before) / requests * 1e6, resident
-        finally:
-            router.kill()
-            router.wait()
-            depot.close()
+CHECKOUT_PYTHON = "exec .venv/bin/python "  # how the command in a deploy file begins
+CLOCK_TICKS = os.sysconf("SC_CLK_TCK")  # a second
+PAGE_SIZE = os.sysconf("SC_PAGE_SIZE")
+WARM_UP_REQUESTS = 200
+OBJECTS = 20
+CACHES = 3
 
 
-def main() -> None:
-    """Measures in turns, and prints medians."""
-    arguments = sys.argv[1:]
-    other = Path(arguments[arguments.index("--against") + 1]).resolve() if "--against" in arguments else HERE
-    rounds, requests = (3, 1500) if "--short" in arguments else (9, 3000)
-    found: dict[str, list[tuple[float, float]]] = {"here": [], "other": []}
-    for _ in range(rounds):
-        for name, checkout in (("other", other), ("here", HERE)):
-            found[name].append(once(checkout, requests))
+@dataclass(frozen=True, slots=True)
+class Cost:
+    """What one run of the router cost."""
+
+    cpu_us: float  # microseconds of CPU a request
+    resident_mb: float  # resident memory at ready
+
+
+@dataclass(frozen=True, slots=True)
+class Plan:
+    """How much is measured."""
+
+    rounds: int
+    requests: int
+
+
+SHORT, LONG = Plan(rounds=3, requests=1500), Plan(rounds=9, requests=3000)
+
+
+def _cpu_seconds(process_id: int) -> float:
+    fields = Path(f"/proc/{process_id}/stat").read_text().rpartition(")")[2].split()
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS
+
+
+def _resident_mb(process_id: int) -> float:
+    pages = int(Path(f"/proc/{process_id}/statm").read_text().split()[1])
+    return pages * PAGE_SIZE / 1e6
+
+
+def run_command(checkout: Path) -> list[str]:
+    """The command of the checkout's deploy file; raises OSError or KeyError if there is none."""
+    command: str = tomllib.loads((checkout / "deploy" / "balancer.toml").read_text())["run"]
+    if command.startswith(CHECKOUT_PYTHON):
+        command = f"exec {shlex.quote(sys.executable)} {command.removeprefix(CHECKOUT_PYTHON)}"
+    return ["/bin/sh", "-c", command]
+
+
+def _send(client: FastCgiClient, numbers: range) -> None:
+    for number in numbers:
+        client.request_object(READ_CLASS, f"{number % OBJECTS + 1:016x}", f"{number + 1:016x}")
+
+
+def measure(checkout: Path, requests: int) -> Cost:
+    """Starts the checkout's router once and sends it so many requests, one after the other."""
+    backends = SimulatedBackends(CACHES)
+    try:
+        with LocalRouter(run_command(checkout), backends, checkout) as router:
+            resident_mb = _resident_mb(router.process_id)
+            client = FastCgiClient(router.port)
+            _send(client, range(WARM_UP_REQUESTS))
+            cpu_before = _cpu_seconds(router.process_id)
+            _send(client, range(WARM_UP_REQUESTS, WARM_UP_REQUESTS + requests))
+            cpu_us = (_cpu_seconds(router.process_id) - cpu_before) / requests * 1e6
+            client.close()
+            return Cost(cpu_us, resident_mb)
+    finally:
+        backends.close()
+
+
+def measure_in_turns(checkouts: dict[str, Path], plan: Plan) -> dict[str, list[Cost]]:
+    """Measures each checkout once a round, so that load on the machine affects all alike."""
+    costs: dict[str, list[Cost]] = {name: [] for name in checkouts}
+    for _ in range(plan.rounds):
+        for name, checkout in checkouts.items():
+            costs[name].append(measure(checkout, plan.requests))
             time.sleep(0.1)
+    return costs
+
+
+def report(costs: dict[str, list[Cost]]) -> None:
+    """Prints ranges and medians, then all figures on one line."""
     figures = {}
-    for name, runs in found.items():
-        figures[f"{name}_us"] = median(cpu for cpu, _ in runs)
-        figures[f"{name}_mb"] = median(resident for _, resident in runs)
+    for name, runs in costs.items():
+        cpu_us, resident_mb = [run.cpu_us for run in runs], [run.resident_mb for run in runs]
+        figures[f"{name}_us"], figures[f"{name}_mb"] = median(cpu_us), median(resident_mb)
         print(
-            f"{name:6} CPU a request {min(c for c, _ in runs):.0f} to {max(c for c, _ in runs):.0f} us, "
-            f"median {figures[f'{name}_us']:.0f}; at ready {figures[f'{name}_mb']:.2f} MB"
+            f"{name:6} CPU a request {min(cpu_us):.0f} to {max(cpu_us):.0f} us, median {median(cpu_us):.0f}; "
+            f"at ready {min(resident_mb):.2f} to {max(resident_mb):.2f} MB, median {median(resident_mb):.2f}"
         )
-    ratios = [here[0] / there[0] for here, there in zip(found["here"], found["other"], strict=True)]
-    figures["cpu_ratio"] = median(ratios)
+    pairs = list(zip(costs["here"], costs["other"], strict=True))
+    figures["cpu_ratio"] = median(here.cpu_us / other.cpu_us for here, other in pairs)
+    figures["mb_ratio"] = median(here.resident_mb / other.resident_mb for here, other in pairs)
     print(" ".join(f"{name}={value:.4g}" for name, value in figures.items()))
 
 
+def main() -> None:
+    """Measures in turns and prints the report."""
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--short", action="store_true", help="fewer rounds with fewer requests")
+    parser.add_argument("--against", type=Path, default=HERE, help="the other checkout")
+    arguments = parser.parse_args()
+    checkouts = {"other": arguments.against.resolve(), "here": HERE}
+    report(measure_in_turns(checkouts, SHORT if arguments.short else LONG))
+
+
 if __name__ == "__main__":
     main()
--- a/edge_router/cli/demo.py
+++ b/edge_router/cli/demo.py
@@ -1,258 +1,137 @@
-"""`edge_router demo`: the router in a made-up depot, told as it happens."""
+"""`edge_router demo`: the router among simulated backends, with a commentary while it runs."""
 
 from __future__ import annotations
 
-import json
-import os
 import random
-import signal
-import socket
-import struct
-import subprocess
 import sys
-import tempfile
 import threading
 import time
 from collections import Counter
-from pathlib import Path
 
-from edge_router.fault_injection.depot import Depot
-from edge_router.protocol import fastcgi
+from edge_router.fault_injection.fastcgi_client import GROUP, FastCgiClient
+from edge_router.fault_injection.local_router import READ_CLASS, LocalRouter
+from edge_router.fault_injection.protocol import EndpointState, ProtocolError, Response
+from edge_router.fault_injection.simulated_backends import WRITE_CLASS, SimulatedBackends
 
-PATIENCE = 20.0
-CLASSES = (("item-image", "pure", 3000.0), ("pick-confirm", "side_effect", 3000.0))
+CACHES = 3
+PHASES = 4
+WORKERS = 4  # clients at once
+WRITE_INTERVAL = 7  # every seventh request is a write
+OBJECTS = 24
+DRAIN_NOTICE = 0.3  # seconds; the settings give routers 0.25 s to heed a drain
+PURGE_NOTICE = 0.5  # seconds; the settings give routers 0.5 s to heed a purge
+OUTCOMES = {200: "served", 503: "refused"}  # by status; all others failed
 
 
-def settings() -> dict[str, object]:
-    """The settings of a made-up depot, as the platform's configuration gives them."""
-    return {
-        "areas": ["central", "edge-1"],
-        "models": ["small-box", "parent", "origin"],
-        "zone": 1,
-        "fleet_size": 1,
-        "weights": "nominal",
-        "discovery": "push",
-        "classes": [
-            {
-                "name": name,
-                "importance": 1.0,
-                "on_time": 400.0,
-                "deadline": deadline,
-                "effect": effect,
-                "late_worth": 0.2,
-                "window": 5000.0,
-            }
-            for name, effect, deadline in CLASSES
-        ],
-        "domain": {
-            "client_kb_per_s": 4200.0,
-            "heed_within": 500.0,
-            "instances_by_zone": [0, 1],
-            "joins": True,
-            "never_kept": [False, True],
-            "lifetime_by_class": [0.0, 0.0],
-            "purge_settles": 6000.0,
-            "shield_kind": 1,
-            "store_kind": 2,
-            "zone_link_kb_per_s": [0.0, 60000.0],
-        },
-        "limits": {
-            "cancel": True,
-            "connect_timeout": 400.0,
-            "max_retry_after": 1000.0,
-            "most_tries": 8,
-            "retry_after": True,
-            "second_copies": True,
-            "streams_per_conn": 100,
-        },
-        "rules": {
-            "cold_from": 0.25,
-            "drain_grace": 250.0,
-            "overload_for": 3000.0,
-            "tip_multiple": 4.0,
-            "warm_up": 16000.0,
-        },
-    }
-
-
-def free_port() -> int:
-    """A port of the loopback address that nobody listens on."""
-    with socket.socket() as sock:
-        sock.bind(("127.0.0.1", 0))
-        port: int = sock.getsockname()[1]
-        return port
-
-
-class Asker:
-    """One FastCGI connection that asks one request after the other."""
-
-    def __init__(self, port: int) -> None:
-        self._sock = socket.create_connection(("127.0.0.1", port), PATIENCE)
-        self._stream = self._sock.makefile("rb")
-
-    def ask(self, path: str, **fields: str) -> tuple[str, bytes]:
-        """The status line and the bytes of the answer; raises EOFError if there is none."""
-        table = {"SCRIPT_NAME": path, **{f"HTTP_X_{name}": value for name, value in fields.items()}}
-        params = b"".join(
-            bytes((len(name), len(value))) + name.encode() + value.encode() for name, value in table.items()
-        )
-        self._sock.sendall(
-            fastcgi.record(fastcgi.BEGIN, 1, struct.pack(">HB5x", fastcgi.RESPONDER, fastcgi.KEEP_CONN))
-            + fastcgi.record(fastcgi.PARAMS, 1, params)
-            + fastcgi.record(fastcgi.PARAMS, 1)
-            + fastcgi.record(fastcgi.STDIN, 1)
-        )
-        out = b""
-        while len(head := self._stream.read(8)) == 8:
-            _, kind, _, length, padding, _ = struct.unpack(">BBHHBB", head)
-            content = self._stream.read(length + padding)[:length]
-            if kind == fastcgi.STDOUT:
-                out += content
-            elif kind == fastcgi.END:
-                head, _, body = out.partition(b"\r\n\r\n")
-                return head.decode("latin-1").partition("\r\n")[0].removeprefix("Status: "), body
-        raise EOFError("the router closed the connection")
-
-    def ask_item(self, number: int, item: int, cls: str = "item-image") -> tuple[str, bytes]:
-        """Asks for an object under an id that is made of the number."""
-        return self.ask(
-            f"/svc/{cls}",
-            TXN=f"{number + 1:016x}",
-            TTL_MS="3000",
-            ROW=f"{item:016x}",
-            BUCKET="17",
-            WORKING_SET_KB="40",
-        )
-
-    def close(self) -> None:
-        """Ends the connection."""
-        self._sock.close()
-
-
-def _say(text: str) -> None:
+def _print(text: str) -> None:
     print(f"{time.strftime('%H:%M:%S')}  {text}", flush=True)
 
 
-def wait_ready(port: int, router: subprocess.Popen[bytes]) -> None:
-    """Waits until the router says that it is ready; raises RuntimeError if it does not."""
-    limit = time.monotonic() + PATIENCE
-    while time.monotonic() < limit and router.poll() is None:
-        try:
-            asker = Asker(port)
-            status, _ = asker.ask("/status/live")
-            asker.close()
-            if status.startswith("200"):
-                return
-        except (OSError, EOFError):
-            pass
-        time.sleep(0.02)
-    raise RuntimeError("the router did not become ready")
-
-
-def play(count: int) -> int:
-    """Runs the whole demonstration; 0 if each request got its one answer and all rules shown held."""
-    depot = Depot(caches=3)
-    port = free_port()
-    config = {
-        "name": "demo",
-        "listen": f"127.0.0.1:{port}",
-        "seed": "7",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512},
-        "changelog": f"127.0.0.1:{depot.log_port}",
-        "known": depot.known(),
-        "settings": settings(),
-    }
-    with tempfile.TemporaryDirectory() as folder:
-        path = Path(folder, "config.json")
-        path.write_text(json.dumps(config))
-        log_path = Path(folder, "router.log")
-        with open(log_path, "wb") as log:
-            router = subprocess.Popen(
-                [sys.executable, "-m", "edge_router"],
-                stderr=log,
-                env={**os.environ, "RELAY_CONFIG": str(path)},
-            )
-        try:
-            wait_ready(port, router)
-            _say(f"the router is ready, with {len(depot.caches)} caches, a parent and an origin")
-            return _traffic(port, depot, count, router)
-        finally:
-            if router.poll() is None:
-                router.kill()
-            router.wait()
-            depot.close()
-
-
-def _traffic(port: int, depot: Depot, count: int, router: subprocess.Popen[bytes]) -> int:
-    chooser = random.Random(7)
-    verdicts: Counter[str] = Counter()
-    lock = threading.Lock()
-    problems: list[str] = []
-
-    def some(numbers: range) -> None:
-        asker = Asker(port)
-        for number in numbers:
-            cls = "pick-confirm" if number % 7 == 0 else "item-image"
-            with lock:
-                item = chooser.randrange(1, 24)
-            try:
-                status, body = asker.ask_item(number, item, cls)
-            except (OSError, EOFError) as error:
-                problems.append(f"request {number} got no answer: {error}")
-                return
-            with lock:
-                verdicts[{"200": "served", "503": "refused"}.get(status[:3], "failed")] += 1
-                if (
-                    status.startswith("200")
-                    and cls == "item-image"
-                    and not body.startswith(f"{item:x}:".encode())
-                ):
-                    problems.append(f"request {number} got what was not its own")
-        asker.close()
-
-    def stretch(part: int, title: str) -> None:
-        before = sum(verdicts.values())
-        quarter = range(part * count // 4, (part + 1) * count // 4)
-        workers = [threading.Thread(target=some, args=(quarter[place::4],)) for place in range(4)]
+class Demonstration:
+    """The phases of the demonstration, the answers so far and the problems found."""
+
+    def __init__(self, router: LocalRouter, backends: SimulatedBackends, requests: int) -> None:
+        self._router, self._backends, self._requests = router, backends, requests
+        self._random = random.Random(7)
+        self._lock = threading.Lock()
+        self._outcomes: Counter[str] = Counter()
+        self._problems: list[str] = []
+
+    def run(self) -> list[str]:
+        """Runs all phases; returns the problems."""
+        _print(f"the router is ready, with {CACHES} caches, a parent and an origin")
+        self._run_phase(0, "ordinary traffic")
+        self._drain()
+        self._purge()
+        self._stop_cache()
+        self._stop_router()
+        self._check_totals()
+        return self._problems
+
+    def _run_phase(self, phase: int, title: str) -> None:
+        """Sends one phase's share of the requests, by several clients at once."""
+        answers_before = self._outcomes.total()
+        numbers = range(phase * self._requests // PHASES, (phase + 1) * self._requests // PHASES)
+        workers = [
+            threading.Thread(target=self._send, args=(numbers[start::WORKERS],)) for start in range(WORKERS)
+        ]
         for worker in workers:
             worker.start()
         for worker in workers:
             worker.join()
-        _say(f"{title}: {sum(verdicts.values()) - before} answers, so far {dict(verdicts)}")
+        answers = self._outcomes.total() - answers_before
+        _print(f"{title}: {answers} answers, so far {dict(self._outcomes)}")
 
-    stretch(0, "an ordinary stretch")
-    drained = depot.caches[0]
-    depot.tell_state(drained, "draining")
-    time.sleep(0.3)
-    before = drained.fetches
-    stretch(1, f"s-{drained.ident:08x} drains")
-    _say(
-        f"s-{drained.ident:08x} got {drained.fetches - before} fetches "
-        "more than 250 ms after the drain was told"
-    )
-    if drained.fetches != before:
-        problems.append("a drained cache got fresh work")
-    moment = depot.tell_purge(17)
-    time.sleep(0.5)
-    stretch(2, "group 17 is purged")
-    _say(f"{depot.too_old(moment)} answers since were older than the purge")
-    if depot.too_old(moment):
-        problems.append("an answer was older than a purge")
-    depot.caches[1].die()
-    stretch(3, f"s-{depot.caches[1].ident:08x} has died")
-    router.send_signal(signal.SIGTERM)
-    code = router.wait(PATIENCE)
-    _say(f"SIGTERM: the router ended with {code}")
-    if code != 0:
-        problems.append(f"the router ended with {code}")
-    if sum(verdicts.values()) != count:
-        problems.append(f"{sum(verdicts.values())} answers to {count} requests")
-    if depot.repeated():
-        problems.append(f"{depot.repeated()} pick-confirms ran twice")
-    _say(
-        f"{count} requests, {sum(verdicts.values())} final answers, "
-        f"{depot.repeated()} pick-confirms run twice"
-    )
-    for problem in problems:
-        _say(f"PROBLEM: {problem}")
+    def _send(self, numbers: range) -> None:
+        """Sends these requests one after the other on one connection; stops at the first without answer."""
+        client = FastCgiClient(self._router.port)
+        for number in numbers:
+            with self._lock:
+                item = self._random.randrange(1, OBJECTS)
+            class_name = READ_CLASS if number % WRITE_INTERVAL else WRITE_CLASS
+            try:
+                response = client.request_object(class_name, f"{item:016x}", f"{number + 1:016x}")
+            except (OSError, EOFError, ProtocolError) as error:
+                self._problems.append(f"request {number} got no answer: {error}")
+                return
+            self._record(number, item, class_name, response)
+        client.close()
+
+    def _record(self, number: int, item: int, class_name: str, response: Response) -> None:
+        with self._lock:
+            self._outcomes[OUTCOMES.get(response.status, "failed")] += 1
+            served_read = response.status == 200 and class_name == READ_CLASS
+            if served_read and not response.body.startswith(f"{item:x}:".encode()):
+                self._problems.append(f"request {number} got another object")
+
+    def _drain(self) -> None:
+        cache = self._backends.caches[0]
+        self._backends.publish_state(cache, EndpointState.DRAINING)
+        time.sleep(DRAIN_NOTICE)
+        fetches_before = cache.fetches
+        self._run_phase(1, f"{cache.name} drains")
+        fetches = cache.fetches - fetches_before
+        _print(f"{cache.name} got {fetches} fetches more than 250 ms after the drain was published")
+        if fetches:
+            self._problems.append("a draining cache got new requests")
+
+    def _purge(self) -> None:
+        purged_at_ms = self._backends.publish_group_purge(GROUP)
+        time.sleep(PURGE_NOTICE)
+        self._run_phase(2, f"group {GROUP} is purged")
+        stale = self._backends.count_stale_answers(purged_at_ms)
+        _print(f"{stale} answers since were older than the purge")
+        if stale:
+            self._problems.append("an answer was older than a purge")
+
+    def _stop_cache(self) -> None:
+        cache = self._backends.caches[1]
+        cache.close()
+        self._run_phase(3, f"{cache.name} is down")
+
+    def _stop_router(self) -> None:
+        exit_status = self._router.terminate()
+        _print(f"SIGTERM: the router exited with status {exit_status}")
+        if exit_status != 0:
+            self._problems.append(f"the router exited with status {exit_status}")
+
+    def _check_totals(self) -> None:
+        answers, repeated = self._outcomes.total(), self._backends.count_repeated_writes()
+        if answers != self._requests:
+            self._problems.append(f"{answers} answers to {self._requests} requests")
+        if repeated:
+            self._problems.append(f"{repeated} {WRITE_CLASS}s ran twice")
+        _print(f"{self._requests} requests, {answers} final answers, {repeated} {WRITE_CLASS}s run twice")
+        for problem in self._problems:
+            _print(f"PROBLEM: {problem}")
+
+
+def run_demo(requests: int) -> int:
+    """Runs the demonstration; returns 0 if each request got its one answer and all rules shown held."""
+    backends = SimulatedBackends(CACHES)
+    try:
+        with LocalRouter([sys.executable, "-m", "edge_router"], backends) as router:
+            problems = Demonstration(router, backends, requests).run()
+    finally:
+        backends.close()
     return 1 if problems else 0
--- a/edge_router/cli/main.py
+++ b/edge_router/cli/main.py
@@ -1,4 +1,4 @@
-"""`edge_router`: the router itself, the explorer, the fault soak and the demonstration."""
+"""`edge_router`: the router itself, the model checker, the fault injection and the demonstration."""
 
 from __future__ import annotations
 
@@ -32,10 +32,10 @@
     help="How many requests are sent.",
 )
 def demo(requests: int) -> None:
-    """Run the router in a made-up depot: a drain, a purge and a cache that dies, told as it happens."""
-    from edge_router.cli.demo import play
+    """Run the router among simulated backends: a drain, a purge and a cache that fails, with a commentary."""
+    from edge_router.cli.demo import run_demo
 
-    sys.exit(play(requests))
+    sys.exit(run_demo(requests))
 
 
 cli.add_command(explore)
--- a/edge_router/cli/soak.py
+++ b/edge_router/cli/soak.py
@@ -1,14 +1,37 @@
-"""`edge-router soak`: plays randomized faults around real router processes and judges what was seen."""
+"""`edge-router soak`: runs randomized faults around real router processes and judges what was observed."""
 
 from __future__ import annotations
 
 import sys
 from collections import Counter
+from enum import IntEnum
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 import click
 
-MOST_LATENESS = 0.1  # seconds; a run in which the clients ran later than this proves nothing
+if TYPE_CHECKING:
+    from edge_router.fault_injection.observations import Observations
+
+MAX_HARNESS_DELAY = 0.1  # seconds; a run in which the clients sent later than this proves nothing
+
+
+class ExitStatus(IntEnum):
+    """Exit statuses of the command."""
+
+    PASSED = 0
+    VIOLATIONS = 1
+    INCONCLUSIVE = 3
+
+
+def _summary(observations: Observations) -> str:
+    statuses = Counter(request.status for request in observations.requests)
+    by_status = dict(sorted((status or 0, count) for status, count in statuses.items()))
+    return (
+        f"{len(observations.requests)} requests, by status {by_status}, "
+        f"{len(observations.attempts)} attempts, {len(observations.router_runs)} router processes, "
+        f"harness delay {observations.max_harness_delay * 1000:.0f} ms"
+    )
 
 
 @click.command()
@@ -42,25 +65,22 @@
 
     Exits with 1 if any rule was broken, with 3 if a run was too late to prove anything.
     """
-    from edge_router.fault_injection.harness import play
-    from edge_router.fault_injection.oracle import judge
-    from edge_router.fault_injection.scenario import draw
+    from edge_router.fault_injection.harness import run_scenario
+    from edge_router.fault_injection.oracle import find_violations
+    from edge_router.fault_injection.scenario import draw_scenario
 
-    broken = late = False
+    violated = delayed = False
     for number in range(seed, seed + runs):
-        scenario = draw(number, seconds, routers, caches, rate)
-        seen = play(scenario, keep / str(number) if keep else None)
-        violations = judge(seen, scenario)
-        statuses = dict(sorted(Counter(asked.status for asked in seen.asked).items()))
-        click.echo(
-            f"seed {number}: {len(seen.asked)} requests, by status {statuses}, "
-            f"{len(seen.begun)} attempts, {len(seen.lives)} router lives, "
-            f"late {seen.lateness * 1000:.0f} ms, {len(violations)} violations"
-        )
+        scenario = draw_scenario(number, seconds, routers, caches, rate)
+        observations = run_scenario(scenario, keep / str(number) if keep else None)
+        violations = find_violations(observations, scenario)
+        click.echo(f"seed {number}: {_summary(observations)}, {len(violations)} violations")
         for violation in violations:
             click.echo(f"  {violation.text()}")
         if violations:
-            click.echo("\n".join(f"  {step.text()}" for step in scenario.steps))
-        broken |= bool(violations)
-        late |= seen.lateness > MOST_LATENESS
-    sys.exit(1 if broken else 3 if late else 0)
+            click.echo("\n".join(f"  {fault.text()}" for fault in scenario.faults))
+        violated |= bool(violations)
+        delayed |= observations.max_harness_delay > MAX_HARNESS_DELAY
+    if violated:
+        sys.exit(ExitStatus.VIOLATIONS)
+    sys.exit(ExitStatus.INCONCLUSIVE if delayed else ExitStatus.PASSED)
--- a/edge_router/fault_injection/cache_process.py
+++ b/edge_router/fault_injection/cache_process.py
@@ -1,214 +1,258 @@
-"""A simulated cache as a process of its own, started with IDENT PORT SEED.
+"""A simulated cache as a process of its own, with the arguments CACHE_ID PORT SEED.
 
-It fills from any source that a fetch names, keeps what it filled, and obeys `limit`, `oldest`, `seen` and
-`abort`. What it saw goes to standard output, a line of JSON each; orders come in on standard input.
+It fills from any source that a fetch names, stores what it filled, and obeys `limit`, `oldest`, `seen` and
+`abort`. What it observes goes to standard output and orders come in on standard input (`messages`).
 """
 
 from __future__ import annotations
 
-import json
-import os
 import sys
 import time
 from dataclasses import dataclass, field
+from enum import IntEnum
 from functools import partial
 from random import Random
 
 import trio
 
-from edge_router.fault_injection.observations import Answered, Fetched
+from edge_router.fault_injection.messages import DropCopies, ProcessReady, read_orders, send_to_harness
+from edge_router.fault_injection.network import LOOPBACK, reset_connection
+from edge_router.fault_injection.observations import CacheResponse, FetchReceived
 from edge_router.fault_injection.protocol import (
     ProtocolError,
-    Reader,
-    fields_from,
-    fields_to,
-    resp_array,
-    resp_arrays,
+    StreamReader,
+    decode_fields,
+    encode_array,
+    encode_fields,
+    read_arrays,
 )
-from edge_router.fault_injection.scenario import Trouble
+from edge_router.fault_injection.scenario import FaultKind
 
-IDLE_SECONDS = 4.0  # a connection at rest for so long is closed
-FRESH_SECONDS = {"page": 10.0}
-WRITES = ("order", "vote")
-ERROR_WORDS = ("500", "503")
+IDLE_TIMEOUT = 4.0  # seconds after which an idle connection is closed
+RESET_IDLE_AFTER = 0.1  # seconds after which a connection counts as idle for FaultKind.RESET_IDLE
+FRESHNESS_LIFETIMES = {"page": 10.0}  # seconds, by class
+WRITE_CLASSES = ("order", "vote")
+ERROR_STATUSES = ("500", "503")
+CORRUPT_STATUS = "corrupt"  # reported for a response that can't be parsed; never on the wire
 
 
-@dataclass(slots=True)
-class Copy:
-    """A copy that is kept."""
+class Corruption(IntEnum):
+    """Ways in which a response is corrupted."""
+
+    MALFORMED = 0
+    CUT_SHORT = 1
+    SENT_TWICE = 2
+    CONNECTION_CLOSED = 3
 
-    born: int  # Unix ms at which the origin gave it out
 
-    def tag(self) -> str:
-        """Its tag."""
-        return f"{self.born:x}"
+@dataclass(slots=True)
+class StoredCopy:
+    """A copy of an object's part."""
 
+    created_ms: int  # Unix milliseconds at which the origin gave it out
 
-def content(item: str, chunk: str, born: int) -> bytes:
-    """The bytes of a copy; from them the oracle tells what they are."""
-    head = f"{item}|{chunk}|{born}|".encode()
-    return head * (1 + int(item[:4], 16) % 200)
+    @property
+    def etag(self) -> str:
+        """Its entity tag."""
+        return etag_of(self.created_ms)
 
 
 @dataclass(slots=True)
-class Cache:
-    """The state of the process."""
-
-    ident: int
-    seed: int
-    started: int = field(default_factory=lambda: int(time.time() * 1000))
-    copies: dict[tuple[str, str], Copy] = field(default_factory=dict)
-    troubles: dict[Trouble, float] = field(default_factory=dict)  # until when, in monotonic seconds
-    connections: dict[trio.SocketStream, float] = field(default_factory=dict)  # last used
-
-    writing: dict[trio.SocketStream, trio.Lock] = field(default_factory=dict)
-    random: Random = field(init=False)
-
-    def __post_init__(self) -> None:
-        self.random = Random(self.seed)
-
-    def in_trouble(self, trouble: Trouble) -> bool:
-        """Whether the trouble is on now."""
-        return time.monotonic() < self.troubles.get(trouble, 0.0)
-
-    def report(self, what: Fetched | Answered) -> None:
-        """Tells the harness."""
-        print(what.line(), flush=True)
-
-    async def orders(self) -> None:
-        """Carries out what the harness orders; ends the process when the harness is gone."""
-        reader = trio.wrap_file(sys.stdin)
-        async for line in reader:
-            order = json.loads(line)
-            if "purge" in order:
-                self.drop(order["purge"], order["before"])
-            else:
-                self.troubles[Trouble(order["trouble"])] = order["until"]
-                if order["trouble"] == Trouble.FORGET:
-                    await self.forget()
-        os._exit(0)
-
-    def drop(self, items: list[str], before: int) -> None:
-        """Drops the copies of those objects that are older."""
-        for name in [name for name, copy in self.copies.items() if name[0] in items and copy.born < before]:
-            del self.copies[name]
-
-    async def forget(self) -> None:
-        """Resets the connections on which nothing is open."""
-        for stream in list(self.connections):
-            if self.connections[stream] < time.monotonic() - 0.1:
-                linger = b"\1\0\0\0\0\0\0\0"
-                stream.socket.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_LINGER, linger)
-                self.connections.pop(stream, None)
-                await trio.aclose_forcefully(stream)
+class FetchResult:
+    """The content of a response to a fetch. `headers` are fields of the protocol."""
+
+    status: str
+    headers: dict[str, object] = field(default_factory=dict)
+    body: bytes = b""
+    created_ms: int = 0
+
+
+def etag_of(created_ms: int) -> str:
+    """The entity tag of a copy of that age."""
+    return f"{created_ms:x}"
+
+
+def content_of(object_id: str, chunk: str, created_ms: int) -> bytes:
+    """The bytes of a copy; the oracle recognizes a copy by them."""
+    line = f"{object_id}|{chunk}|{created_ms}|".encode()
+    return line * (1 + int(object_id[:4], 16) % 200)
+
+
+class CacheConnection:
+    """One connection of a router."""
+
+    def __init__(self, stream: trio.SocketStream) -> None:
+        self.stream = stream
+        self.last_used_at = time.monotonic()
+        self.running: dict[str, trio.CancelScope] = {}  # fetches, by request id
+        self._send_lock = trio.Lock()  # responses must not interleave
+
+    async def send(self, data: bytes) -> None:
+        """Sends one response."""
+        async with self._send_lock:
+            await self.stream.send_all(data)
+
+    def idle_time(self) -> float:
+        """Seconds since its last use."""
+        return time.monotonic() - self.last_used_at
+
+
+class SimulatedCache:
+    """The cache of this process: its copies, its connections and its present faults."""
+
+    def __init__(self, cache_id: int, seed: int) -> None:
+        self.started_ms = int(time.time() * 1000)
+        self._cache_id = cache_id
+        self._random = Random(seed)
+        self._copies: dict[tuple[str, str], StoredCopy] = {}  # by object and chunk
+        self._fault_until: dict[FaultKind, float] = {}  # monotonic seconds
+        self._connections: set[CacheConnection] = set()
+
+    def _has_fault(self, kind: FaultKind) -> bool:
+        return time.monotonic() < self._fault_until.get(kind, 0.0)
+
+    async def follow_orders(self) -> None:
+        """Carries out the orders of the harness until it ends."""
+        async for order in read_orders():
+            if isinstance(order, DropCopies):
+                self._drop_copies(order)
+                continue
+            self._fault_until[order.kind] = order.until
+            if order.kind is FaultKind.RESET_IDLE:
+                self._reset_idle_connections()
+
+    def _drop_copies(self, order: DropCopies) -> None:
+        self._copies = {
+            name: copy
+            for name, copy in self._copies.items()
+            if name[0] != order.object_id or copy.created_ms >= order.created_before_ms
+        }
+
+    def _reset_idle_connections(self) -> None:
+        for connection in list(self._connections):
+            if connection.idle_time() > RESET_IDLE_AFTER:
+                self._connections.discard(connection)
+                reset_connection(connection.stream)
 
     async def serve(self, stream: trio.SocketStream) -> None:
-        """One connection."""
-        self.connections[stream] = time.monotonic()
-        running: dict[str, trio.CancelScope] = {}
+        """Serves one connection until it ends."""
+        connection = CacheConnection(stream)
+        self._connections.add(connection)
         try:
             async with stream, trio.open_nursery() as nursery:
-                nursery.start_soon(self._close_idle, stream, running, nursery.cancel_scope)
-                async for items in resp_arrays(Reader(stream)):
-                    self.connections[stream] = time.monotonic()
-                    if items[0] == b"fetch":
-                        nursery.start_soon(self._fetch, stream, running, items)
-                    elif items[0] == b"abort" and (scope := running.get(items[1].decode())):
-                        scope.cancel()
-                    elif items[0] == b"alive":
-                        await self._send(stream, resp_array(items[1], b"alive", b"-", b""))
+                nursery.start_soon(self._close_when_idle, connection, nursery.cancel_scope)
+                async for items in read_arrays(StreamReader(stream)):
+                    connection.last_used_at = time.monotonic()
+                    await self._execute(connection, items, nursery)
                 nursery.cancel_scope.cancel()
         except* (trio.BrokenResourceError, trio.ClosedResourceError, ProtocolError, ValueError):
             pass
         finally:
-            self.connections.pop(stream, None)
-            self.writing.pop(stream, None)
-
-    async def _close_idle(
-        self, stream: trio.SocketStream, running: dict[str, trio.CancelScope], scope: trio.CancelScope
-    ) -> None:
-        while running or time.monotonic() - self.connections.get(stream, 0.0) < IDLE_SECONDS:
+            self._connections.discard(connection)
+
+    async def _execute(self, connection: CacheConnection, items: list[bytes], nursery: trio.Nursery) -> None:
+        command = items[0]
+        if command == b"fetch":
+            nursery.start_soon(self._fetch, connection, items)
+        elif command == b"abort" and (scope := connection.running.get(items[1].decode())):
+            scope.cancel()
+        elif command == b"alive":
+            await connection.send(encode_array(items[1], b"alive", b"-", b""))
+
+    async def _close_when_idle(self, connection: CacheConnection, scope: trio.CancelScope) -> None:
+        while connection.running or connection.idle_time() < IDLE_TIMEOUT:
             await trio.sleep(0.2)
         scope.cancel()
 
-    async def _fetch(
-        self, stream: trio.SocketStream, running: dict[str, trio.CancelScope], items: list[bytes]
-    ) -> None:
-        txn, fields = items[1].decode(), fields_from(items[2])
-        self.report(Fetched(time.monotonic(), self.ident, txn, self.started))
+    async def _fetch(self, connection: CacheConnection, items: list[bytes]) -> None:
+        request_id, fields = items[1].decode(), decode_fields(items[2])
+        send_to_harness(FetchReceived(time.monotonic(), self._cache_id, request_id, self.started_ms))
         with trio.CancelScope() as scope:
-            running[txn] = scope
+            connection.running[request_id] = scope
             try:
                 with trio.move_on_after(float(fields["limit"]) / 1000.0):
-                    await self._answer(stream, txn, fields)
+                    await self._respond(connection, request_id, fields)
             finally:
-                running.pop(txn, None)
-                self.connections[stream] = time.monotonic()
+                connection.running.pop(request_id, None)
+                connection.last_used_at = time.monotonic()
 
-    async def _answer(self, stream: trio.SocketStream, txn: str, fields: dict[str, str]) -> None:
-        while self.in_trouble(Trouble.HANG):
+    async def _respond(self, connection: CacheConnection, request_id: str, fields: dict[str, str]) -> None:
+        while self._has_fault(FaultKind.HANG):
             await trio.sleep(0.05)
-        word, headers, body = await self._result(fields)
-        data = resp_array(txn.encode(), word.encode(), fields_to(headers), body)
-        born = int(str(headers.get("born", 0)))
-        if self.in_trouble(Trouble.SPOILT) and word == "200" and self.random.random() < 0.5:
-            await self._spoil(stream, txn, data, born)
+        result = await self._result_of(fields)
+        data = encode_array(
+            request_id.encode(), result.status.encode(), encode_fields(result.headers), result.body
+        )
+        corrupt = self._has_fault(FaultKind.CORRUPT_RESPONSES) and result.status == "200"
+        if corrupt and self._random.random() < 0.5:
+            await self._send_corrupted(connection, request_id, data, result.created_ms)
             return
-        self.report(Answered(time.monotonic(), self.ident, txn, word, born))
-        await self._send(stream, data)
-
-    async def _send(self, stream: trio.SocketStream, data: bytes) -> None:
-        async with self.writing.setdefault(stream, trio.Lock()):
-            await stream.send_all(data)
-
-    async def _spoil(self, stream: trio.SocketStream, txn: str, data: bytes, born: int) -> None:
-        way = self.random.randrange(4)
-        twice = way == 2  # a good answer, and a second copy of it
-        self.report(Answered(time.monotonic(), self.ident, txn, "200" if twice else "spoilt", born))
-        if way == 0:
-            await self._send(stream, b"*4\r\n$16\r\n" + self.random.randbytes(40))
-        elif way == 1:
-            await self._send(stream, data[: len(data) // 2])
-            await trio.sleep(2.0)
-        elif twice:
-            await self._send(stream, data)
-            await trio.sleep(self.random.choice((0.0, 0.004)))
-            await self._send(stream, data)
-        else:
-            await trio.aclose_forcefully(stream)
-
-    async def _result(self, fields: dict[str, str]) -> tuple[str, dict[str, object], bytes]:
-        """The answer to a fetch: status word, fields, bytes."""
-        await trio.sleep(self.random.uniform(0.002, 0.03))
-        if self.in_trouble(Trouble.ERRORS) and self.random.random() < 0.6:
-            return self.random.choice(ERROR_WORDS), {}, b""
+        self._report_response(request_id, result.status, result.created_ms)
+        await connection.send(data)
+
+    def _report_response(self, request_id: str, status: str, created_ms: int) -> None:
+        send_to_harness(CacheResponse(time.monotonic(), self._cache_id, request_id, status, created_ms))
+
+    async def _send_corrupted(
+        self, connection: CacheConnection, request_id: str, data: bytes, created_ms: int
+    ) -> None:
+        corruption = Corruption(self._random.randrange(len(Corruption)))
+        readable = corruption is Corruption.SENT_TWICE
+        self._report_response(request_id, "200" if readable else CORRUPT_STATUS, created_ms)
+        match corruption:
+            case Corruption.MALFORMED:
+                await connection.send(b"*4\r\n$16\r\n" + self._random.randbytes(40))
+            case Corruption.CUT_SHORT:
+                await connection.send(data[: len(data) // 2])
+                await trio.sleep(2.0)
+            case Corruption.SENT_TWICE:
+                await connection.send(data)
+                await trio.sleep(self._random.choice((0.0, 0.004)))
+                await connection.send(data)
+            case Corruption.CONNECTION_CLOSED:
+                await trio.aclose_forcefully(connection.stream)
+
+    async def _result_of(self, fields: dict[str, str]) -> FetchResult:
+        await trio.sleep(self._random.uniform(0.002, 0.03))
+        if self._has_fault(FaultKind.ERROR_RESPONSES) and self._random.random() < 0.6:
+            return FetchResult(self._random.choice(ERROR_STATUSES))
+        if fields["cls"] in WRITE_CLASSES:
+            return self._write(fields)
+        return await self._read(fields)
+
+    def _write(self, fields: dict[str, str]) -> FetchResult:
+        if "from" not in fields:
+            return FetchResult("404")
+        body = content_of(fields["item"], fields["chunk"], 0)
+        return FetchResult("200", {"tell": "via_origin", "waited": 1}, body)
+
+    async def _read(self, fields: dict[str, str]) -> FetchResult:
         name = fields["item"], fields["chunk"]
-        if fields["cls"] in WRITES:
+        copy, note = self._copies.get(name), "hit"
+        if copy is None or time.time() * 1000.0 - copy.created_ms > _max_age_ms(fields):
             if "from" not in fields:
-                return "404", {}, b""
-            return "200", {"tell": "via_origin", "waited": 1}, content(*name, 0)
-        copy, note = self.copies.get(name), "hit"
-        default = FRESH_SECONDS.get(fields["cls"], 0.0) * 1000.0
-        oldest = float(fields.get("oldest", 0)) or default or float("inf")
-        if copy is None or time.time() * 1000.0 - copy.born > oldest:
-            if "from" not in fields:
-                return "404", {}, b""
-            await trio.sleep(self.random.uniform(0.005, 0.08))
-            copy, note = Copy(int(time.time() * 1000)), "via_origin"
+                return FetchResult("404")
+            await trio.sleep(self._random.uniform(0.005, 0.08))
+            copy, note = StoredCopy(int(time.time() * 1000)), "via_origin"
             if "rank" in fields:
-                self.copies[name] = copy
-        headers = {"tell": note, "ver": copy.tag(), "born": copy.born, "waited": 5}
-        if fields.get("seen") == copy.tag():
-            return "304", headers, b""
-        return "200", headers, content(*name, copy.born)
+                self._copies[name] = copy
+        headers = {"tell": note, "ver": copy.etag, "born": copy.created_ms, "waited": 5}
+        if fields.get("seen") == copy.etag:
+            return FetchResult("304", headers, created_ms=copy.created_ms)
+        return FetchResult("200", headers, content_of(*name, copy.created_ms), copy.created_ms)
+
+
+def _max_age_ms(fields: dict[str, str]) -> float:
+    default = FRESHNESS_LIFETIMES.get(fields["cls"], 0.0) * 1000.0
+    return float(fields.get("oldest", 0)) or default or float("inf")
 
 
-async def _main(ident: int, port: int, seed: int) -> None:
-    cache = Cache(ident, seed)
+async def _main(cache_id: int, port: int, seed: int) -> None:
+    cache = SimulatedCache(cache_id, seed)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(cache.orders)
-        await nursery.start(partial(trio.serve_tcp, host="127.0.0.1"), cache.serve, port)
-        print(json.dumps({"event": "ready", "started": cache.started}), flush=True)
+        nursery.start_soon(cache.follow_orders)
+        await nursery.start(partial(trio.serve_tcp, host=LOOPBACK), cache.serve, port)
+        send_to_harness(ProcessReady(cache.started_ms))
 
 
 if __name__ == "__main__":
--- a/edge_router/fault_injection/clients.py
+++ b/edge_router/fault_injection/clients.py
@@ -1,245 +1,204 @@
-"""The web servers: FastCGI clients that ask in an open loop, leave early at times, or misbehave."""
+"""The web servers: FastCGI clients that send requests in an open loop and cancel some of them."""
 
 from __future__ import annotations
 
 import random
 import time
-from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
-from functools import partial
 
 import trio
 
-from edge_router.fault_injection.observations import Asked, Observations
+from edge_router.fault_injection.observations import ClientRequest, Observations
 from edge_router.fault_injection.protocol import (
-    ABORT,
-    BEGIN,
-    END,
-    OVERLOADED,
-    PARAMS,
-    STDIN,
-    STDOUT,
     ProtocolError,
-    Reader,
+    ProtocolStatus,
+    RecordType,
+    StreamReader,
+    encode_record,
     parse_response,
-    record,
-    records,
-    request_records,
+    read_records,
 )
+from edge_router.fault_injection.traffic import RequestGenerator, encode_client_request
 
-IDLE_SECONDS = 3.0  # clients close connections at rest after 4 s; some before
-MOST_AT_ONCE = 8  # requests on one connection
-CLASSES = (("photo", 0.55), ("page", 0.3), ("order", 0.08), ("vote", 0.07))
-OBJECTS = 300
-GROUPS = 16
-LEAVE_SHARE = 0.04  # of the requests, those whose client leaves early
+IDLE_TIMEOUT = 3.0  # seconds; routers close idle connections after 4 s, some sooner
+CONNECT_TIMEOUT = 2.0  # seconds
+MAX_REQUESTS_PER_CONNECTION = 8  # at once
+NEW_CONNECTION_SHARE = 0.1  # of the requests that could use an open connection
+SPLIT_SHARE = 0.1  # of the requests, those that are written in two parts
+SPLIT_SIZE, SPLIT_PAUSE = 20, 0.02  # bytes of the first part, seconds before the second
+CANCEL_SHARE = 0.04  # of the requests, those that are cancelled
+MAX_CANCEL_DELAY = 0.2  # seconds
+ABORT_SHARE = 0.7  # of the cancellations, those by an abort record; the others close the connection
 
+_CONNECTION_ERRORS = (trio.BrokenResourceError, trio.ClosedResourceError, trio.BusyResourceError)
 
-@dataclass(slots=True)
-class Connection:
-    """One connection to a router."""
+
+@dataclass(slots=True, eq=False)
+class ClientConnection:
+    """One connection to a router and the requests open on it, by FastCGI request id."""
 
     stream: trio.SocketStream
-    open: dict[int, Asked] = field(default_factory=dict)
+    open_requests: dict[int, ClientRequest] = field(default_factory=dict)
     output: dict[int, bytes] = field(default_factory=dict)
-    next_ident: int = 1
-    used_at: float = field(default_factory=time.monotonic)
-    over: bool = False
-    writing: trio.Lock = field(default_factory=trio.Lock)  # records of two requests must not mix
+    next_fastcgi_id: int = 1
+    last_used_at: float = field(default_factory=time.monotonic)
+    closed: bool = False
+    send_lock: trio.Lock = field(default_factory=trio.Lock)  # records of two requests must not interleave
+
+    def is_usable(self) -> bool:
+        """Whether another request may be sent on it."""
+        idle_time = time.monotonic() - self.last_used_at
+        room = len(self.open_requests) < MAX_REQUESTS_PER_CONNECTION
+        return not self.closed and room and idle_time < IDLE_TIMEOUT
+
+    def new_fastcgi_id(self) -> int:
+        """An id that no open request has."""
+        fastcgi_id = self.next_fastcgi_id
+        self.next_fastcgi_id = fastcgi_id % 60_000 + 1
+        return fastcgi_id
 
 
 class Clients:
-    """All clients of one router."""
+    """All well-behaved clients of one router."""
 
     def __init__(
-        self, router: str, address: tuple[str, int], seed: int, seen: Observations, nursery: trio.Nursery
+        self,
+        router: str,
+        address: tuple[str, int],
+        seed: int,
+        observations: Observations,
+        nursery: trio.Nursery,
     ) -> None:
-        self._router, self._address, self._seen, self._nursery = router, address, seen, nursery
+        self._address, self._observations, self._nursery = address, observations, nursery
         self._random = random.Random(seed)
-        self._connections: list[Connection] = []
-        self._tags: dict[tuple[str, int], str] = {}  # of copies that clients hold
+        self._requests = RequestGenerator(router, self._random)
+        self._connections: list[ClientConnection] = []
         self.rate_factor = 1.0
-        self.accepting = True  # whether the front still hands requests to this router
+        self.accepting = True  # whether requests are still sent to this router
 
     async def run(self, rate: float, until: float) -> None:
-        """Asks at that mean rate until that moment; arrivals don't wait for answers."""
-        at = time.monotonic()
-        while at < until:
-            at += self._random.expovariate(rate * self.rate_factor)
-            await trio.sleep(max(0.0, at - time.monotonic()))
-            self._seen.lateness = max(self._seen.lateness, time.monotonic() - at)
+        """Sends requests at that mean rate until that moment, without waiting for answers."""
+        next_at = time.monotonic()
+        while next_at < until:
+            next_at += self._random.expovariate(rate * self.rate_factor)
+            await trio.sleep(max(0.0, next_at - time.monotonic()))
+            delay = time.monotonic() - next_at
+            self._observations.max_harness_delay = max(self._observations.max_harness_delay, delay)
             if self.accepting:
-                self._nursery.start_soon(self._ask_once)
-
-    def _draw(self) -> Asked:
-        cls = self._random.choices([name for name, _ in CLASSES], [share for _, share in CLASSES])[0]
-        number = min(int(self._random.paretovariate(0.9)), OBJECTS)
-        item = f"{number * 0x9E3779B97F4A7C15 % (1 << 64):016x}"
-        ttl = self._random.choice((0.12, 0.5, 1.0, 1.5))
-        asked = Asked(
-            f"{self._random.getrandbits(64):016x}", self._router, cls, item, number % 3, number % GROUPS, ttl
-        )
-        if cls in ("photo", "page") and self._random.random() < 0.2:
-            asked.tag = self._tags.get((item, asked.chunk), "")
-        return asked
-
-    async def _ask_once(self) -> None:
-        asked = self._draw()
+                self._nursery.start_soon(self._send_one)
+
+    async def _send_one(self) -> None:
+        request = self._requests.draw()
         try:
-            connection = await self._connection()
+            connection = await self._acquire_connection()
         except OSError:
-            return  # never sent, so nothing is owed
-        await self._send(connection, asked)
-
-    async def _connection(self) -> Connection:
-        usable = [
-            one
-            for one in self._connections
-            if not one.over and len(one.open) < MOST_AT_ONCE and time.monotonic() - one.used_at < IDLE_SECONDS
-        ]
-        if usable and self._random.random() < 0.9:
+            return  # never sent, so no answer is due
+        fastcgi_id = connection.new_fastcgi_id()
+        if not await self._send(connection, fastcgi_id, request):
+            return
+        self._observations.requests.append(request)
+        if self._random.random() < CANCEL_SHARE:
+            await trio.sleep(self._random.uniform(0.0, MAX_CANCEL_DELAY))
+            await self._cancel(connection, fastcgi_id, request)
+
+    async def _acquire_connection(self) -> ClientConnection:
+        """An open connection, or a new one; raises OSError if there is no way to connect in time."""
+        usable = [connection for connection in self._connections if connection.is_usable()]
+        if usable and self._random.random() >= NEW_CONNECTION_SHARE:
             return self._random.choice(usable)
-        with trio.fail_after(2.0):
-            try:
+        try:
+            with trio.fail_after(CONNECT_TIMEOUT):
                 stream = await trio.open_tcp_stream(*self._address)
-            except trio.TooSlowError as error:
-                raise OSError("not up in time") from error
-        connection = Connection(stream)
+        except trio.TooSlowError as error:
+            raise OSError("no connection in time") from error
+        connection = ClientConnection(stream)
         self._connections.append(connection)
         self._nursery.start_soon(self._read, connection)
         return connection
 
-    def _fields(self, asked: Asked) -> dict[str, str]:
-        size = 20 + int(asked.item[:4], 16) % 200
-        fields = {
-            "X_TXN": asked.txn,
-            "X_TTL_MS": str(round(asked.ttl * 1000)),
-            "X_ROW": asked.item,
-            "X_SEG": str(asked.chunk),
-            "X_BUCKET": str(asked.group),
-            "X_WORKING_SET_KB": str(size),
-        }
-        if asked.cls == "vote":
-            fields["X_TXN_KEY"] = f"k{asked.txn}"
-        if asked.tag:
-            fields["X_ETAG"] = asked.tag
-        return fields
-
-    async def _send(self, connection: Connection, asked: Asked) -> None:
-        ident = connection.next_ident
-        connection.next_ident = ident % 60_000 + 1
-        body = b"b" * 100 if asked.cls in ("order", "vote") else b""
-        data = request_records(ident, f"/svc/{asked.cls}", self._fields(asked), body)
-        connection.open[ident] = asked
-        connection.used_at = time.monotonic()
+    async def _send(self, connection: ClientConnection, fastcgi_id: int, request: ClientRequest) -> bool:
+        """Writes a request; False if the connection failed before it was complete."""
+        data = encode_client_request(fastcgi_id, request)
+        connection.open_requests[fastcgi_id] = request
+        connection.last_used_at = time.monotonic()
         try:
-            async with connection.writing:
-                if self._random.random() < 0.1:
-                    await connection.stream.send_all(data[:20])
-                    await trio.sleep(0.02)
-                    data = data[20:]
+            async with connection.send_lock:
+                if self._random.random() < SPLIT_SHARE:
+                    await connection.stream.send_all(data[:SPLIT_SIZE])
+                    await trio.sleep(SPLIT_PAUSE)
+                    data = data[SPLIT_SIZE:]
                 await connection.stream.send_all(data)
-        except (trio.BrokenResourceError, trio.ClosedResourceError, trio.BusyResourceError):
-            connection.open.pop(ident, None)
-            connection.over = True
+        except _CONNECTION_ERRORS:
+            connection.open_requests.pop(fastcgi_id, None)
+            connection.closed = True
+            return False
+        if request.sent_at is None:  # an answer may have come before this task runs on
+            request.sent_at = time.monotonic()
+        return True
+
+    async def _cancel(self, connection: ClientConnection, fastcgi_id: int, request: ClientRequest) -> None:
+        if request.answered_at is not None or connection.closed:
             return
-        asked.sent_at = asked.sent_at or time.monotonic()
-        self._seen.asked.append(asked)
-        if self._random.random() < LEAVE_SHARE:
-            await trio.sleep(self._random.uniform(0.0, 0.2))
-            await self._leave(connection, ident, asked)
-
-    async def _leave(self, connection: Connection, ident: int, asked: Asked) -> None:
-        if asked.answered_at or connection.over:
+        if self._random.random() < ABORT_SHARE:
+            await self._abort(connection, fastcgi_id, request)
             return
-        if self._random.random() < 0.7:
-            asked.left_at = time.monotonic()  # before the end that it brings about can come
-            try:
-                async with connection.writing:
-                    await connection.stream.send_all(record(ABORT, ident))
-            except (trio.BrokenResourceError, trio.ClosedResourceError, trio.BusyResourceError):
-                asked.left_at = 0.0
-        else:
-            connection.over = True
-            for other in connection.open.values():
-                other.left_at = other.left_at or time.monotonic()
-            await trio.aclose_forcefully(connection.stream)
-
-    async def _read(self, connection: Connection) -> None:
+        connection.closed = True
+        now = time.monotonic()
+        for other in connection.open_requests.values():
+            if other.cancelled_at is None:
+                other.cancelled_at = now
+        await trio.aclose_forcefully(connection.stream)
+
+    async def _abort(self, connection: ClientConnection, fastcgi_id: int, request: ClientRequest) -> None:
+        request.cancelled_at = time.monotonic()  # before the answer that the abort may bring about
         try:
-            async for one in records(Reader(connection.stream)):
-                connection.used_at = time.monotonic()
-                if one.kind == STDOUT:
-                    connection.output[one.ident] = connection.output.get(one.ident, b"") + one.content
-                elif one.kind == END:
-                    self._ended(connection, one.ident, one.content[4])
+            async with connection.send_lock:
+                await connection.stream.send_all(encode_record(RecordType.ABORT_REQUEST, fastcgi_id))
+        except _CONNECTION_ERRORS:
+            request.cancelled_at = None
+
+    async def _read(self, connection: ClientConnection) -> None:
+        """Takes in the answers on a connection until it ends."""
+        try:
+            async for record in read_records(StreamReader(connection.stream)):
+                connection.last_used_at = time.monotonic()
+                fastcgi_id = record.fastcgi_id
+                if record.record_type == RecordType.STDOUT:
+                    connection.output[fastcgi_id] = connection.output.get(fastcgi_id, b"") + record.content
+                elif record.record_type == RecordType.END_REQUEST:
+                    self._finish(connection, fastcgi_id, record.content[4])
         except (trio.BrokenResourceError, trio.ClosedResourceError, ProtocolError, EOFError):
             pass
-        connection.over = True
-        for asked in connection.open.values():
-            asked.closed_at = time.monotonic()
+        connection.closed = True
+        for request in connection.open_requests.values():
+            request.connection_lost_at = time.monotonic()
         if connection in self._connections:
             self._connections.remove(connection)
         await trio.aclose_forcefully(connection.stream)
 
-    def _ended(self, connection: Connection, ident: int, protocol_status: int) -> None:
-        text = connection.output.pop(ident, b"")
-        asked = connection.open.pop(ident, None)
-        if asked is None:
+    def _finish(self, connection: ClientConnection, fastcgi_id: int, protocol_status: int) -> None:
+        """Records the answer to a request."""
+        text = connection.output.pop(fastcgi_id, b"")
+        request = connection.open_requests.pop(fastcgi_id, None)
+        if request is None:
             return
-        asked.sent_at = asked.sent_at or time.monotonic()
-        asked.answers += 1
-        asked.answered_at = time.monotonic()
-        if protocol_status == OVERLOADED:
-            asked.status = 503
+        now = time.monotonic()
+        if request.sent_at is None:
+            request.sent_at = now
+        request.answer_count += 1
+        request.answered_at = now
+        if protocol_status == ProtocolStatus.OVERLOADED:
+            request.status = 503
             return
-        if not text and asked.left_at:
+        if not text and request.cancelled_at is not None:
             return
         try:
             response = parse_response(text)
         except ProtocolError as error:
-            asked.unreadable = str(error)
+            request.parse_error = str(error)
             return
-        asked.status, asked.body = response.status, response.body
-        asked.current = response.headers.get("X-Notmod") == "1"
-        asked.answer_tag = response.headers.get("X-Etag", "")
-        if asked.status == 200 and asked.answer_tag:
-            self._tags[asked.item, asked.chunk] = asked.answer_tag
-
-    async def misbehave(self, length: float) -> None:
-        """Bad clients for a while: noise, halves, endless bodies, and many that say nothing."""
-        end = time.monotonic() + length
-        ways: list[Callable[[trio.SocketStream], Awaitable[None]]] = [
-            self._noise,
-            self._half,
-            self._endless,
-            self._mute,
-        ]
-        while time.monotonic() < end:
-            self._nursery.start_soon(partial(self._bad_client, self._random.choice(ways), end))
-            await trio.sleep(0.05)
-
-    async def _bad_client(self, way: Callable[[trio.SocketStream], Awaitable[None]], end: float) -> None:
-        try:
-            with trio.move_on_at(trio.current_time() + max(0.1, end - time.monotonic())):
-                stream = await trio.open_tcp_stream(*self._address)
-                async with stream:
-                    await way(stream)
-        except (OSError, trio.BrokenResourceError, trio.ClosedResourceError):
-            pass
-
-    async def _noise(self, stream: trio.SocketStream) -> None:
-        await stream.send_all(self._random.randbytes(300))
-        await stream.receive_some(1000)
-
-    async def _half(self, stream: trio.SocketStream) -> None:
-        data = request_records(1, "/svc/photo", self._fields(self._draw()))
-        await stream.send_all(data[: self._random.randrange(1, len(data))])
-
-    async def _endless(self, stream: trio.SocketStream) -> None:
-        await stream.send_all(record(BEGIN, 1, b"\0\1\1\0\0\0\0\0") + record(PARAMS, 1))
-        for _ in range(200):
-            await stream.send_all(record(STDIN, 1, b"x" * 60_000))
-
-    async def _mute(self, stream: trio.SocketStream) -> None:
-        await stream.receive_some(1)
+        request.status, request.body = response.status, response.body
+        request.not_modified = response.headers.get("X-Notmod") == "1"
+        request.response_etag = response.headers.get("X-Etag", "")
+        if request.status == 200:
+            self._requests.store(request)
--- a/edge_router/fault_injection/harness.py
+++ b/edge_router/fault_injection/harness.py
@@ -1,4 +1,4 @@
-"""Plays one scenario: starts all processes, lets clients ask, and carries out the troubles in time."""
+"""Runs one scenario: starts all processes and clients, and injects the faults at their times."""
 
 from __future__ import annotations
 
@@ -8,45 +8,51 @@
 
 import trio
 
+from edge_router.fault_injection.faults import FaultInjector
 from edge_router.fault_injection.fleet import Fleet
 from edge_router.fault_injection.observations import Observations
 from edge_router.fault_injection.scenario import Scenario
-from edge_router.fault_injection.troubles import Troubles
 
-SETTLE = 3.5  # seconds after the last request for what is still open
+SETTLING_TIME = 3.5  # seconds after the end of the traffic for requests that are still open
 
 
-async def _play(fleet: Fleet) -> Observations:
-    """The whole run; returns what was seen."""
-    scenario, start = fleet.scenario, fleet.start
-    await fleet.boot()
-    await trio.sleep(max(0.0, start - time.monotonic()))
+async def _sleep_until(moment: float) -> None:
+    """Sleeps until that moment of the machine's monotonic clock."""
+    await trio.sleep(max(0.0, moment - time.monotonic()))
+
+
+async def _run_scenario(fleet: Fleet) -> Observations:
+    scenario, start = fleet.scenario, fleet.traffic_starts_at
+    await fleet.start()
+    await _sleep_until(start)
     fleet.start_clients()
-    troubles = Troubles(fleet)
+    injector = FaultInjector(fleet)
+    async with trio.open_nursery() as nursery:
+        for fault in scenario.faults:
+            await _sleep_until(start + fault.at)
+            nursery.start_soon(injector.inject, fault)
+    await _sleep_until(start + scenario.seconds + SETTLING_TIME)
+    fleet.observations.routers_behind_change_log += [
+        router.name for router in fleet.routers if not router.change_log.is_followed_to_its_end()
+    ]
     async with trio.open_nursery() as nursery:
-        for step in scenario.steps:
-            await trio.sleep(max(0.0, start + step.at - time.monotonic()))
-            nursery.start_soon(troubles.play, step)
-    await trio.sleep(max(0.0, start + scenario.seconds + SETTLE - time.monotonic()))
-    fleet.seen.not_following += [seat.name for seat in fleet.routers if not seat.log.followed()]
-    async with trio.open_nursery() as stops:
-        for seat in fleet.routers:
-            stops.start_soon(fleet.terminate, seat)
-    return fleet.seen
+        for router in fleet.routers:
+            nursery.start_soon(fleet.terminate_router, router)
+    return fleet.observations
 
 
-def play(scenario: Scenario, folder: Path | None = None) -> Observations:
-    """Plays a scenario in real time; logs and configurations are left in `folder`, if one is given."""
+def run_scenario(scenario: Scenario, folder: Path | None = None) -> Observations:
+    """Runs a scenario in real time; logs and configurations are left in `folder`, if one is given."""
 
     async def run(path: Path) -> Observations:
         async with trio.open_nursery() as nursery:
             fleet = Fleet(scenario, path, nursery)
             try:
-                seen = await _play(fleet)
+                observations = await _run_scenario(fleet)
             finally:
                 fleet.kill_all()
             nursery.cancel_scope.cancel()
-        return seen
+        return observations
 
     if folder is not None:
         folder.mkdir(parents=True, exist_ok=True)
--- a/edge_router/fault_injection/observations.py
+++ b/edge_router/fault_injection/observations.py
@@ -1,140 +1,146 @@
-"""What clients, caches and the change log saw, in seconds of the machine's monotonic clock."""
+"""What clients, caches, the proxy and the change log saw of the routers.
+
+Moments are seconds of the machine's monotonic clock, which all processes share; a moment is None where
+something never happened.
+"""
 
 from __future__ import annotations
 
-import json
-from dataclasses import asdict, dataclass, field
+from dataclasses import dataclass, field
 
-SERVED, REFUSED = 200, (429, 503)
+from edge_router.fault_injection.messages import Message
+from edge_router.fault_injection.protocol import EndpointState
 
 
 @dataclass(slots=True)
-class Begun:
-    """The first byte of a fetch has left a router, as the proxy saw it, whatever became of it."""
+class AttemptStarted(Message):
+    """The proxy saw the first byte of a fetch leave a router, whatever became of it."""
 
     at: float
-    cache: int
-    txn: str
-    cls: str
-    limit_ms: float
-    source: int
-    late: float  # seconds by which the proxy itself may have run late
-
-    def line(self) -> str:
-        """The observation as one line of JSON."""
-        return json.dumps({"event": "begun", **asdict(self)})
+    cache_id: int
+    request_id: str
+    class_name: str
+    limit_ms: float  # time limit that the router passed on
+    source_id: int  # endpoint named as the source of the fill; 0 for none
+    proxy_delay: float  # seconds by which the proxy itself may have seen it late
 
 
 @dataclass(slots=True)
-class Fetched:
-    """A whole fetch command has reached a cache."""
+class FetchReceived(Message):
+    """A complete fetch command has reached a cache."""
 
     at: float
-    cache: int
-    txn: str
-    started: int  # Unix ms of the cache's own start
-
-    def line(self) -> str:
-        """The observation as one line of JSON."""
-        return json.dumps({"event": "fetched", **asdict(self)})
+    cache_id: int
+    request_id: str
+    cache_started_ms: int  # Unix milliseconds
 
 
 @dataclass(slots=True)
-class Answered:
-    """A cache has written its answer to a fetch. `word` is the status; `born` the copy's Unix ms."""
+class CacheResponse(Message):
+    """A cache has written its response to a fetch."""
 
     at: float
-    cache: int
-    txn: str
-    word: str
-    born: int
-
-    def line(self) -> str:
-        """The observation as one line of JSON."""
-        return json.dumps({"event": "answered", **asdict(self)})
+    cache_id: int
+    request_id: str
+    status: str
+    copy_created_ms: int  # Unix milliseconds
 
 
-def observation_from(line: str) -> Begun | Fetched | Answered:
-    """The observation that a line holds; raises KeyError if there is no such event."""
-    table = json.loads(line)
-    kinds: dict[str, type[Begun] | type[Fetched] | type[Answered]] = {
-        "begun": Begun,
-        "fetched": Fetched,
-        "answered": Answered,
-    }
-    return kinds[table.pop("event")](**table)
+Report = AttemptStarted | FetchReceived | CacheResponse
 
 
 @dataclass(slots=True)
-class Asked:
-    """One request of a client and what became of it. Times are 0 where something never happened."""
+class ClientRequest:
+    """One request of a client and what became of it."""
 
-    txn: str
+    request_id: str
     router: str
-    cls: str
-    item: str
+    class_name: str
+    object_id: str
     chunk: int
     group: int
-    ttl: float  # seconds
-    tag: str = ""  # of the copy that the client holds
-    sent_at: float = 0.0  # last byte written
-    left_at: float = 0.0  # aborted or closed by the client
-    answered_at: float = 0.0
-    closed_at: float = 0.0  # the router ended the connection with no answer
-    status: int = 0
-    current: bool = False  # the answer calls the client's copy current
-    answer_tag: str = ""
+    timeout: float  # seconds
+    client_etag: str = ""  # of the copy that the client has stored
+    sent_at: float | None = None  # last byte written
+    cancelled_at: float | None = None  # aborted, or connection closed, by the client
+    answered_at: float | None = None
+    connection_lost_at: float | None = None  # the router closed the connection without an answer
+    answer_count: int = 0
+    parse_error: str | None = None  # why the answer could not be parsed
+    status: int | None = None
+    not_modified: bool = False  # the answer says that the client's copy is current
+    response_etag: str = ""
     body: bytes = b""
-    answers: int = 0
-    unreadable: str = ""
 
 
 @dataclass(slots=True)
-class Told:
-    """The change log wrote an event to a router."""
+class EndpointChangeSent:
+    """The change log has sent a router the new state of an endpoint."""
 
-    at: float
+    at: float | None
     router: str
-    node: int = 0  # of a change of the list
-    state: int = 0
-    started: int = 0
-    item: str = ""  # of a purge
-    group: int = -1
-    purged_unix_ms: int = 0
+    endpoint_id: int
+    state: EndpointState
+    started_ms: int = 0  # Unix milliseconds; 0 where the change log leaves it out
 
 
 @dataclass(slots=True)
-class RouterLife:
-    """One life of a router process; times are 0 where something never happened."""
+class PurgeSent:
+    """The change log has sent a router a purge: of one object, or else of all objects of a group."""
+
+    at: float | None
+    router: str
+    purged_at_ms: int  # Unix milliseconds
+    object_id: str | None = None
+    group: int | None = None
+
+    def covers(self, request: ClientRequest) -> bool:
+        """Whether the requested object is purged."""
+        if self.object_id is not None:
+            return self.object_id == request.object_id
+        return self.group == request.group
+
+
+@dataclass(slots=True)
+class RouterRun:
+    """One router process from its start to its end."""
 
     router: str
     started_at: float
-    ready_at: float = 0.0
-    term_at: float = 0.0
-    killed_at: float = 0.0
-    ended_at: float = 0.0
+    ready_at: float | None = None
+    sigterm_at: float | None = None
+    sigkill_at: float | None = None
+    ended_at: float | None = None
     exit_code: int | None = None
     log: str = ""
 
 
 @dataclass(slots=True)
 class Observations:
-    """All that was seen in one run."""
-
-    asked: list[Asked] = field(default_factory=list)
-    begun: list[Begun] = field(default_factory=list)
-    fetched: list[Fetched] = field(default_factory=list)
-    answered: list[Answered] = field(default_factory=list)
-    told: list[Told] = field(default_factory=list)
-    lives: list[RouterLife] = field(default_factory=list)
-    not_following: list[str] = field(default_factory=list)  # routers behind their change log at the end
-    lateness: float = 0.0  # the most by which the harness itself ran late, in seconds
-
-    def add(self, found: Begun | Fetched | Answered) -> None:
-        """Takes in what a process has reported."""
-        if isinstance(found, Begun):
-            self.begun.append(found)
-        elif isinstance(found, Fetched):
-            self.fetched.append(found)
+    """Everything seen in one run."""
+
+    requests: list[ClientRequest] = field(default_factory=list)
+    attempts: list[AttemptStarted] = field(default_factory=list)
+    fetches: list[FetchReceived] = field(default_factory=list)
+    cache_responses: list[CacheResponse] = field(default_factory=list)
+    endpoint_changes: list[EndpointChangeSent] = field(default_factory=list)
+    purges: list[PurgeSent] = field(default_factory=list)
+    router_runs: list[RouterRun] = field(default_factory=list)
+    routers_behind_change_log: list[str] = field(default_factory=list)  # at the end of the run
+    max_harness_delay: float = 0.0  # seconds by which the clients sent a request late, at the most
+
+    def add_report(self, report: Report) -> None:
+        """Records what a process has reported."""
+        if isinstance(report, AttemptStarted):
+            self.attempts.append(report)
+        elif isinstance(report, FetchReceived):
+            self.fetches.append(report)
+        else:
+            self.cache_responses.append(report)
+
+    def add_change(self, change: EndpointChangeSent | PurgeSent) -> None:
+        """Records what the change log has sent to a router."""
+        if isinstance(change, EndpointChangeSent):
+            self.endpoint_changes.append(change)
         else:
-            self.answered.append(found)
+            self.purges.append(change)
--- a/edge_router/fault_injection/oracle.py
+++ b/edge_router/fault_injection/oracle.py
@@ -1,7 +1,7 @@
-"""The rules of the pages, checked against what was seen from outside the routers.
+"""The rules of the protocol pages, checked against what was observed from outside the routers.
 
-Each rule is one function from the observations to its violations. A violation names the request, the times
-and the rule. Moments are seconds of the machine's monotonic clock.
+Each rule is one function from the evidence to the violations that it found. Moments are seconds of the
+machine's monotonic clock.
 """
 
 from __future__ import annotations
@@ -12,278 +12,346 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from edge_router.fault_injection.cache_process import content
-from edge_router.fault_injection.observations import Answered, Asked, Begun, Observations
-from edge_router.fault_injection.scenario import Scenario
-
-SLACK = 0.05  # every time limit is so much longer on sockets
-LAG = 0.1  # by which processes of a busy machine may see a thing later than it was
-LATE_FOR = 0.5  # an answer that comes so long after its time only earns nothing
-BEGUN_AFTER_LEAVING = 0.1
-DEADLINE_EXCESS = 0.15
-CROSSING = 0.05  # a request that crosses the close of its connection within this time is sent once more
-TERM_TAKES = 0.7  # requests written so long after SIGTERM may be lost
-READY_WITHIN = 10.0
-NOT_RUN = ("404", "503", "504")
-MEAN_KB = 120.0  # of the clients' objects: 20 to 220
-PACE_KB = 4000.0
-CACHE_WEIGHT = 8.0  # transfers at once, as the list tells it
+from edge_router.fault_injection.cache_process import content_of, etag_of
+from edge_router.fault_injection.observations import (
+    AttemptStarted,
+    CacheResponse,
+    ClientRequest,
+    Observations,
+    RouterRun,
+)
+from edge_router.fault_injection.protocol import EndpointState
+from edge_router.fault_injection.scenario import CLIENT_BANDWIDTH_KB, Scenario
+from edge_router.fault_injection.traffic import ORDER_CLASS, READ_CLASSES, WRITE_CLASSES
+
+TIMING_TOLERANCE = 0.05  # every time limit is so much longer on sockets
+OBSERVATION_DELAY = 0.1  # by which processes of a busy machine may see an event later than it was
+LATEST_ANSWER = 0.5  # after the client's timeout; the pages allow late answers until then
+CANCELLATION_NOTICE = 0.1  # in which an attempt may still start after its client cancelled
+DEADLINE_TOLERANCE = 0.15  # by which the limit of an attempt may exceed the client's remaining time
+CROSSING_TIME = 0.05  # a request that crosses the close of its connection within this time is sent again
+DRAIN_TIME = 0.7  # requests written so long after SIGTERM may be lost
+MAX_STARTUP_TIME = 10.0
+NOT_EXECUTED_STATUSES = ("404", "503", "504")
+READABLE_STATUSES = ("200", "304")
+OVERLOAD_STATUSES = (429, 503)
+VOTE_CLASS_INDEX = 3
+MEAN_OBJECT_KB = 120.0  # of the clients' objects: 20 to 220
+CACHE_CAPACITY = 8.0  # transfers at once, as the endpoint list gives it
+FAULT_LOG_EVENTS = ("internal-error", "invariant-violation", "backstop-timeout", "task-failed")
+ALL_ROUTERS = "all"
+NO_REQUEST = "-"
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One broken rule."""
+    """One broken rule. `rule` is the name that the report prints."""
 
     rule: str
     router: str
-    txn: str
-    what: str
+    request_id: str
+    description: str
 
     def text(self) -> str:
         """One line for the report."""
-        return f"{self.rule}: {self.router} {self.txn} {self.what}"
+        return f"{self.rule}: {self.router} {self.request_id} {self.description}"
 
 
 class Evidence:
-    """The observations, by request."""
-
-    def __init__(self, seen: Observations, scenario: Scenario) -> None:
-        self.seen, self.scenario = seen, scenario
-        self.asked = {asked.txn: asked for asked in seen.asked}
-        self.begun: dict[str, list[Begun]] = defaultdict(list)
-        self.answered: dict[str, list[Answered]] = defaultdict(list)
-        for begun in sorted(seen.begun, key=lambda begun: begun.at):
-            self.begun[begun.txn].append(begun)
-        for answer in seen.answered:
-            self.answered[answer.txn].append(answer)
-
-    def excused(self, asked: Asked) -> bool:
+    """The observations of a run, indexed by request."""
+
+    def __init__(self, observations: Observations, scenario: Scenario) -> None:
+        self.observations, self.scenario = observations, scenario
+        self.requests = {request.request_id: request for request in observations.requests}
+        self.attempts: dict[str, list[AttemptStarted]] = defaultdict(list)
+        self.cache_responses: dict[str, list[CacheResponse]] = defaultdict(list)
+        for attempt in sorted(observations.attempts, key=lambda attempt: attempt.at):
+            self.attempts[attempt.request_id].append(attempt)
+        for response in observations.cache_responses:
+            self.cache_responses[response.request_id].append(response)
+
+    def lost_with_router(self, request: ClientRequest) -> bool:
         """Whether the end of its router explains that a request got no answer."""
-        for life in self.seen.lives:
-            if life.router != asked.router or not life.started_at <= asked.sent_at:
-                continue
-            if life.killed_at and asked.sent_at <= life.killed_at:
-                return True
-            if life.term_at and asked.sent_at > life.term_at + TERM_TAKES:
-                return True
-        return False
+        return request.sent_at is not None and any(
+            run.router == request.router and _end_explains_loss(run, request.sent_at)
+            for run in self.observations.router_runs
+        )
 
-    def proven_not_run(self, fetch: Begun) -> bool:
-        """Whether the cache has said, for this very attempt, that it did not run."""
+    def known_not_executed(self, attempt: AttemptStarted) -> bool:
+        """Whether the cache has said, for this very attempt, that it did not execute it."""
         return any(
-            answer.cache == fetch.cache and answer.word in NOT_RUN and answer.at >= fetch.at
-            for answer in self.answered[fetch.txn]
+            response.cache_id == attempt.cache_id
+            and response.status in NOT_EXECUTED_STATUSES
+            and response.at >= attempt.at
+            for response in self.cache_responses[attempt.request_id]
         )
 
+    def attempts_with_requests(self) -> Iterator[tuple[AttemptStarted, ClientRequest]]:
+        """Each attempt with its request, where that is known."""
+        for attempt in self.observations.attempts:
+            if (request := self.requests.get(attempt.request_id)) is not None:
+                yield attempt, request
 
-def lost(evidence: Evidence) -> Iterator[Violation]:
-    """Each request that was taken gets its final answer, at most half a second after its time."""
-    for asked in evidence.seen.asked:
-        if asked.left_at or evidence.excused(asked):
-            continue
-        due = asked.sent_at + asked.ttl + LATE_FOR + LAG
-        if asked.answered_at and asked.answered_at <= due:
-            continue
-        if not asked.answered_at and asked.closed_at and asked.closed_at - asked.sent_at < CROSSING + LAG:
+
+def _end_explains_loss(run: RouterRun, sent_at: float) -> bool:
+    if run.started_at > sent_at:
+        return False
+    if run.sigkill_at is not None and sent_at <= run.sigkill_at:
+        return True
+    return run.sigterm_at is not None and sent_at > run.sigterm_at + DRAIN_TIME
+
+
+def _violation(rule: str, request: ClientRequest, description: str) -> Violation:
+    return Violation(rule, request.router, request.request_id, description)
+
+
+def check_answered(evidence: Evidence) -> Iterator[Violation]:
+    """Each request that was taken gets its final answer, at most half a second after its timeout."""
+    for request in evidence.observations.requests:
+        if request.cancelled_at is not None or evidence.lost_with_router(request):
             continue
-        yield Violation("lost", asked.router, asked.txn, f"{asked.cls} ttl {asked.ttl:.2f} s: {_fate(asked)}")
+        if not _answered_in_time(request) and not _crossed_close(request):
+            description = f"{request.class_name} ttl {request.timeout:.2f} s: {_describe_end(request)}"
+            yield _violation("lost", request, description)
+
 
+def _answered_in_time(request: ClientRequest) -> bool:
+    if request.sent_at is None or request.answered_at is None:
+        return False
+    return request.answered_at <= request.sent_at + request.timeout + LATEST_ANSWER + OBSERVATION_DELAY
+
+
+def _crossed_close(request: ClientRequest) -> bool:
+    if request.sent_at is None or request.answered_at is not None or request.connection_lost_at is None:
+        return False
+    return request.connection_lost_at - request.sent_at < CROSSING_TIME + OBSERVATION_DELAY
 
-def _fate(asked: Asked) -> str:
-    if asked.answered_at:
-        return f"answered {asked.answered_at - asked.sent_at:.3f} s after it was sent"
-    if asked.closed_at:
-        return f"closed unanswered {asked.closed_at - asked.sent_at:.3f} s after it was sent"
+
+def _describe_end(request: ClientRequest) -> str:
+    if request.sent_at is not None and request.answered_at is not None:
+        return f"answered {request.answered_at - request.sent_at:.3f} s after it was sent"
+    if request.sent_at is not None and request.connection_lost_at is not None:
+        return f"closed unanswered {request.connection_lost_at - request.sent_at:.3f} s after it was sent"
     return "no answer"
 
 
-def answered_well(evidence: Evidence) -> Iterator[Violation]:
-    """One answer that can be read, with the bytes of a copy that a cache has answered with."""
-    for asked in evidence.seen.asked:
-        if asked.answers > 1:
-            yield Violation("second-answer", asked.router, asked.txn, f"{asked.answers} answers")
-        if asked.unreadable and not asked.left_at:
-            yield Violation("unreadable", asked.router, asked.txn, asked.unreadable)
-        if asked.status != 200:
-            continue
-        answers = [answer for answer in evidence.answered[asked.txn] if answer.word in ("200", "304")]
-        if asked.current:
-            if not asked.tag or not any(f"{answer.born:x}" == asked.tag for answer in answers):
-                yield Violation("false-current", asked.router, asked.txn, f"tag {asked.tag!r}")
-        elif asked.cls in ("photo", "page", "order", "vote"):
-            bodies = {content(asked.item, str(asked.chunk), answer.born) for answer in answers}
-            if asked.body not in bodies:
-                yield Violation("wrong-bytes", asked.router, asked.txn, f"{asked.body[:50]!r}")
-
-
-def begun_too_late(evidence: Evidence) -> Iterator[Violation]:
-    """No attempt begins once its client has left or has its answer."""
-    for fetch in evidence.seen.begun:
-        asked = evidence.asked.get(fetch.txn)
-        if asked is None:
+def check_answers(evidence: Evidence) -> Iterator[Violation]:
+    """One answer that can be parsed, with the bytes of a copy that a cache has answered with."""
+    for request in evidence.observations.requests:
+        if request.answer_count > 1:
+            yield _violation("second-answer", request, f"{request.answer_count} answers")
+        if request.parse_error is not None and request.cancelled_at is None:
+            yield _violation("unreadable", request, request.parse_error)
+        if request.status == 200:
+            yield from _check_content(evidence, request)
+
+
+def _check_content(evidence: Evidence, request: ClientRequest) -> Iterator[Violation]:
+    responses = evidence.cache_responses[request.request_id]
+    created = {response.copy_created_ms for response in responses if response.status in READABLE_STATUSES}
+    if request.not_modified:
+        if not request.client_etag or request.client_etag not in map(etag_of, created):
+            yield _violation("false-current", request, f"tag {request.client_etag!r}")
+    elif request.class_name in READ_CLASSES + WRITE_CLASSES:
+        chunk = str(request.chunk)
+        if request.body not in {content_of(request.object_id, chunk, created_ms) for created_ms in created}:
+            yield _violation("wrong-bytes", request, f"{request.body[:50]!r}")
+
+
+def check_attempt_starts(evidence: Evidence) -> Iterator[Violation]:
+    """No attempt starts once its client has cancelled or has its answer."""
+    for attempt, request in evidence.attempts_with_requests():
+        delay = OBSERVATION_DELAY + attempt.proxy_delay
+        if request.cancelled_at is not None:
+            rule, excess = "begun-after-leaving", attempt.at - request.cancelled_at
+            allowed = CANCELLATION_NOTICE + delay
+        elif request.answered_at is not None:
+            rule, excess = "begun-after-answer", attempt.at - request.answered_at
+            allowed = delay
+        else:
             continue
-        if asked.left_at and fetch.at > asked.left_at + BEGUN_AFTER_LEAVING + LAG + fetch.late:
-            yield Violation(
-                "begun-after-leaving",
-                asked.router,
-                fetch.txn,
-                f"{fetch.at - asked.left_at:.3f} s after, at cache {fetch.cache:x}",
-            )
-        if asked.answered_at and not asked.left_at and fetch.at > asked.answered_at + LAG + fetch.late:
-            yield Violation(
-                "begun-after-answer",
-                asked.router,
-                fetch.txn,
-                f"{fetch.at - asked.answered_at:.3f} s after, at cache {fetch.cache:x}",
-            )
-
-
-def deadline_passed_on(evidence: Evidence) -> Iterator[Violation]:
-    """The limit of an attempt is at most what its client has left, and 0.15 s."""
-    for fetch in evidence.seen.begun:
-        asked = evidence.asked.get(fetch.txn)
-        if asked is None or not asked.sent_at:
+        if excess > allowed:
+            yield _violation(rule, request, f"{excess:.3f} s after, at cache {attempt.cache_id:x}")
+
+
+def check_deadlines(evidence: Evidence) -> Iterator[Violation]:
+    """The limit of an attempt is at most the client's remaining time, and 0.15 s."""
+    for attempt, request in evidence.attempts_with_requests():
+        if request.sent_at is None:
             continue
-        left = asked.sent_at + asked.ttl - fetch.at
-        if fetch.limit_ms / 1000.0 > left + DEADLINE_EXCESS + LAG + fetch.late:
-            yield Violation(
-                "deadline",
-                asked.router,
-                fetch.txn,
-                f"limit {fetch.limit_ms:.0f} ms, the client has {left * 1000:.0f} ms left",
-            )
-
-
-def repeated(evidence: Evidence) -> Iterator[Violation]:
-    """What may not be repeated is sent again only if it surely did not run, and refused only then."""
-    window = float(evidence.scenario.settings()["classes"][3]["window"]) / 1000.0
-    for txn, fetches in evidence.begun.items():
-        asked = evidence.asked.get(txn)
-        if asked is None or asked.cls not in ("order", "vote"):
+        remaining = request.sent_at + request.timeout - attempt.at
+        allowed = remaining + DEADLINE_TOLERANCE + OBSERVATION_DELAY + attempt.proxy_delay
+        if attempt.limit_ms / 1000.0 > allowed:
+            description = f"limit {attempt.limit_ms:.0f} ms, the client has {remaining * 1000:.0f} ms left"
+            yield _violation("deadline", request, description)
+
+
+def check_retries(evidence: Evidence) -> Iterator[Violation]:
+    """A write is sent again only if that can't execute it twice, and rejected only if it was not executed."""
+    window = float(evidence.scenario.settings()["classes"][VOTE_CLASS_INDEX]["window"]) / 1000.0
+    for request_id, attempts in evidence.attempts.items():
+        request = evidence.requests.get(request_id)
+        if request is None or request.class_name not in WRITE_CLASSES:
             continue
-        may_have_run = [fetch for fetch in fetches if not evidence.proven_not_run(fetch)]
-        for fetch in fetches:
-            before = [other for other in may_have_run if other.at < fetch.at]
-            if before and asked.cls == "order":
-                yield Violation("repeated", asked.router, txn, f"again at cache {fetch.cache:x}")
-            elif before and fetch.at > before[0].at + window + SLACK + LAG + fetch.late:
-                yield Violation("repeated-late", asked.router, txn, f"{fetch.at - before[0].at:.3f} s after")
-        if asked.cls == "order" and asked.status in (429, 503) and may_have_run:
-            yield Violation("refused-after-run", asked.router, txn, f"at cache {may_have_run[0].cache:x}")
-
-
-def drained(evidence: Evidence) -> Iterator[Violation]:
-    """Nothing new goes to a node, or names it as a source, after its drain was told and the grace is over."""
+        possibly_executed = [attempt for attempt in attempts if not evidence.known_not_executed(attempt)]
+        for attempt in attempts:
+            earlier = [other for other in possibly_executed if other.at < attempt.at]
+            if earlier:
+                yield from _check_retry(request, attempt, earlier[0], window)
+        if request.class_name == ORDER_CLASS and request.status in OVERLOAD_STATUSES and possibly_executed:
+            yield _violation("refused-after-run", request, f"at cache {possibly_executed[0].cache_id:x}")
+
+
+def _check_retry(
+    request: ClientRequest, attempt: AttemptStarted, first: AttemptStarted, window: float
+) -> Iterator[Violation]:
+    """Checks an attempt after one that may have been executed."""
+    if request.class_name == ORDER_CLASS:
+        yield _violation("repeated", request, f"again at cache {attempt.cache_id:x}")
+        return
+    latest = first.at + window + TIMING_TOLERANCE + OBSERVATION_DELAY + attempt.proxy_delay
+    if attempt.at > latest:
+        yield _violation("repeated-late", request, f"{attempt.at - first.at:.3f} s after")
+
+
+def check_drains(evidence: Evidence) -> Iterator[Violation]:
+    """Nothing new goes to an endpoint, or names it as a source, after its drain and the grace period."""
     grace = float(evidence.scenario.settings()["rules"]["drain_grace"]) / 1000.0
-    changes: dict[tuple[str, int], list[tuple[float, int]]] = defaultdict(list)
-    for told in evidence.seen.told:
-        if told.node:
-            changes[told.router, told.node].append((told.at, told.state))
-    for fetch in evidence.seen.begun:
-        asked = evidence.asked.get(fetch.txn)
-        for node in (fetch.cache, fetch.source):
-            found = sorted(changes.get((asked.router, node), [])) if asked else []
-            place = bisect_right(found, (fetch.at - grace - SLACK - LAG - fetch.late, 99)) - 1
-            later_ready = any(state == 0 for at, state in found[place + 1 :] if at <= fetch.at)
-            if asked and place >= 0 and found[place][1] != 0 and not later_ready:
-                yield Violation(
-                    "drain",
-                    asked.router,
-                    fetch.txn,
-                    f"node {node:x}, told {fetch.at - found[place][0]:.3f} s before",
-                )
-
-
-def purged(evidence: Evidence) -> Iterator[Violation]:
-    """No request sent after a purge was told and its grace is over is answered from an older copy."""
-    heed = float(evidence.scenario.settings()["domain"]["heed_within"]) / 1000.0
-    purges = [told for told in evidence.seen.told if not told.node and told.purged_unix_ms]
-    for asked in evidence.seen.asked:
-        if asked.status != 200 or asked.cls not in ("photo", "page") or not evidence.begun[asked.txn]:
+    histories: dict[tuple[str, int], list[tuple[float, EndpointState]]] = defaultdict(list)
+    for change in evidence.observations.endpoint_changes:
+        if change.at is not None:
+            histories[change.router, change.endpoint_id].append((change.at, change.state))
+    for history in histories.values():
+        history.sort()
+    for attempt, request in evidence.attempts_with_requests():
+        allowed = grace + TIMING_TOLERANCE + OBSERVATION_DELAY + attempt.proxy_delay
+        for endpoint_id in (attempt.cache_id, attempt.source_id):
+            history = histories.get((request.router, endpoint_id), [])
+            drain_at = _binding_drain(history, attempt.at, allowed)
+            if drain_at is not None:
+                description = f"node {endpoint_id:x}, told {attempt.at - drain_at:.3f} s before"
+                yield _violation("drain", request, description)
+
+
+def _binding_drain(
+    history: list[tuple[float, EndpointState]], attempt_at: float, allowed: float
+) -> float | None:
+    """When the drain was sent that forbids an attempt at that moment; None if there is none.
+
+    A drain binds once it is older than `allowed`, unless the endpoint became ready again before the attempt.
+    """
+    position = bisect_right(history, attempt_at - allowed, key=lambda change: change[0]) - 1
+    if position < 0 or history[position][1] is EndpointState.READY:
+        return None
+    later_changes = history[position + 1 :]
+    if any(state is EndpointState.READY for at, state in later_changes if at <= attempt_at):
+        return None
+    return history[position][0]
+
+
+def check_purges(evidence: Evidence) -> Iterator[Violation]:
+    """No request sent after a purge is known and its grace is over is answered from an older copy."""
+    grace = float(evidence.scenario.settings()["domain"]["heed_within"]) / 1000.0
+    allowed = grace + TIMING_TOLERANCE + OBSERVATION_DELAY
+    for request in evidence.observations.requests:
+        attempts = evidence.attempts[request.request_id]
+        if request.status != 200 or request.class_name not in READ_CLASSES or not attempts:
             continue
-        sent = evidence.begun[asked.txn][0].at
-        born = int(asked.answer_tag or "0", 16)
-        for told in purges:
-            names = told.item == asked.item if told.item else told.group == asked.group
-            if (
-                told.router == asked.router
-                and names
-                and born < told.purged_unix_ms
-                and (told.at + heed + SLACK + LAG < sent)
-            ):
-                yield Violation(
-                    "purge",
-                    asked.router,
-                    asked.txn,
-                    f"a copy {told.purged_unix_ms - born} ms older than the purge",
-                )
-
-
-def overloaded_cold(evidence: Evidence) -> Iterator[Violation]:
-    """All routers together stay within the slow-start budget of each cache that has started anew."""
+        created_ms = int(request.response_etag or "0", 16)
+        for purge in evidence.observations.purges:
+            if purge.router != request.router or purge.at is None or not purge.covers(request):
+                continue
+            if created_ms < purge.purged_at_ms and purge.at + allowed < attempts[0].at:
+                age = purge.purged_at_ms - created_ms
+                yield _violation("purge", request, f"a copy {age} ms older than the purge")
+
+
+def check_slow_starts(evidence: Evidence) -> Iterator[Violation]:
+    """All routers together stay within the slow-start budget of each cache that has restarted."""
     rules = evidence.scenario.settings()["rules"]
+    fetches: dict[tuple[int, int], list[float]] = defaultdict(list)
+    for fetch in evidence.observations.fetches:
+        fetches[fetch.cache_id, fetch.cache_started_ms].append(fetch.at)
+    known_since: dict[tuple[int, int], float] = {}  # by cache and start; the first router that was told
+    for change in evidence.observations.endpoint_changes:
+        if change.started_ms and change.at is not None:
+            known_since.setdefault((change.endpoint_id, change.started_ms), change.at)
+    for start, times in fetches.items():
+        if start in known_since:
+            yield from _check_slow_start(start[0], sorted(times), known_since[start], rules)
+
+
+def _check_slow_start(
+    cache_id: int, times: list[float], known_since: float, rules: dict[str, float]
+) -> Iterator[Violation]:
+    """Checks the fetches of one restarted cache; reports the first excess only."""
     window, warm_up = rules["overload_for"] / 1000.0, rules["warm_up"] / 1000.0
-    starts: dict[tuple[int, int], list[float]] = defaultdict(list)
-    for fetch in evidence.seen.fetched:
-        starts[fetch.cache, fetch.started].append(fetch.at)
-    told = {(one.node, one.started): one.at for one in reversed(evidence.seen.told) if one.started}
-    for (cache, started), times in starts.items():
-        if (cache, started) not in told:
-            continue
-        times.sort()
-        for place, at in enumerate(times):
-            age = at - told[cache, started]
-            if age > warm_up:
-                break
-            present = rules["cold_from"] + (1 - rules["cold_from"]) * max(0.0, age) / warm_up
-            calls = rules["tip_multiple"] * present * window * CACHE_WEIGHT / (MEAN_KB / PACE_KB)
-            most = calls + (3 if calls < 30 else 2) * math.sqrt(calls) + (3 if calls < 30 else 2)
-            count = place + 1 - bisect_right(times, at - window)
-            if count > most:
-                yield Violation("slow-start", "all", "-", f"cache {cache:x}: {count} requests of {most:.0f}")
-                break
-
-
-def processes(evidence: Evidence) -> Iterator[Violation]:
+    for position, at in enumerate(times):
+        age = at - known_since
+        if age > warm_up:
+            return
+        capacity = rules["cold_from"] + (1 - rules["cold_from"]) * max(0.0, age) / warm_up
+        allowed = _with_random_excess(
+            rules["tip_multiple"]
+            * capacity
+            * window
+            * CACHE_CAPACITY
+            / (MEAN_OBJECT_KB / CLIENT_BANDWIDTH_KB)
+        )
+        count = position + 1 - bisect_right(times, at - window)
+        if count > allowed:
+            description = f"cache {cache_id:x}: {count} requests of {allowed:.0f}"
+            yield Violation("slow-start", ALL_ROUTERS, NO_REQUEST, description)
+            return
+
+
+def _with_random_excess(mean: float) -> float:
+    """The most requests that count as chance where routers that act apart send `mean` of them."""
+    deviations = 3 if mean < 30 else 2
+    return mean + deviations * math.sqrt(mean) + deviations
+
+
+def check_processes(evidence: Evidence) -> Iterator[Violation]:
     """Routers end only when they are told to, are ready in time, and log no bug and no broken rule."""
-    for life in evidence.seen.lives:
-        if life.exit_code is not None and not life.killed_at and not (life.term_at and life.exit_code == 0):
-            yield Violation("crash", life.router, "-", f"exit code {life.exit_code}")
-        if life.ready_at and life.ready_at - life.started_at > READY_WITHIN:
-            yield Violation("slow-to-ready", life.router, "-", f"{life.ready_at - life.started_at:.1f} s")
-        for line in life.log.splitlines():
-            if line.split(" ")[1:2] in (
-                ["internal-error"],
-                ["invariant-violation"],
-                ["backstop-timeout"],
-                ["task-failed"],
-            ):
-                yield Violation("log", life.router, "-", line[:200])
-        if "Traceback" in life.log:
-            yield Violation("log", life.router, "-", life.log[life.log.index("Traceback") :][-600:])
-
-
-def discovery(evidence: Evidence) -> Iterator[Violation]:
+    for run in evidence.observations.router_runs:
+        ended_as_told = run.sigkill_at is not None or (run.sigterm_at is not None and run.exit_code == 0)
+        if run.exit_code is not None and not ended_as_told:
+            yield Violation("crash", run.router, NO_REQUEST, f"exit code {run.exit_code}")
+        if run.ready_at is not None and run.ready_at - run.started_at > MAX_STARTUP_TIME:
+            yield Violation("slow-to-ready", run.router, NO_REQUEST, f"{run.ready_at - run.started_at:.1f} s")
+        yield from _check_log(run)
+
+
+def _check_log(run: RouterRun) -> Iterator[Violation]:
+    for line in run.log.splitlines():
+        words = line.split(" ")
+        if len(words) > 1 and words[1] in FAULT_LOG_EVENTS:
+            yield Violation("log", run.router, NO_REQUEST, line[:200])
+    if "Traceback" in run.log:
+        yield Violation("log", run.router, NO_REQUEST, run.log[run.log.index("Traceback") :][-600:])
+
+
+def check_discovery(evidence: Evidence) -> Iterator[Violation]:
     """Each router follows its change log to its end, wherever it moved."""
-    for router in evidence.seen.not_following:
-        yield Violation("discovery", router, "-", "has not come to the end of its change log")
+    for router in evidence.observations.routers_behind_change_log:
+        yield Violation("discovery", router, NO_REQUEST, "has not come to the end of its change log")
 
 
 RULES: tuple[Callable[[Evidence], Iterator[Violation]], ...] = (
-    lost,
-    answered_well,
-    begun_too_late,
-    deadline_passed_on,
-    repeated,
-    drained,
-    purged,
-    overloaded_cold,
-    processes,
-    discovery,
+    check_answered,
+    check_answers,
+    check_attempt_starts,
+    check_deadlines,
+    check_retries,
+    check_drains,
+    check_purges,
+    check_slow_starts,
+    check_processes,
+    check_discovery,
 )
 
 
-def judge(seen: Observations, scenario: Scenario) -> list[Violation]:
+def find_violations(observations: Observations, scenario: Scenario) -> list[Violation]:
     """All violations of a run."""
-    evidence = Evidence(seen, scenario)
+    evidence = Evidence(observations, scenario)
     return [violation for rule in RULES for violation in rule(evidence)]
--- a/edge_router/fault_injection/proxy.py
+++ b/edge_router/fault_injection/proxy.py
@@ -1,184 +1,202 @@
-"""A fault proxy between routers and caches: `python -m edge_router.fault_injection.proxy SEED PAIRS`.
+"""A fault proxy between routers and caches: `python -m edge_router.fault_injection.proxy SEED ROUTES`.
 
-`PAIRS` is a JSON list of [port to listen at, port of the cache, id of the cache]. Orders come in on standard
-input, a line of JSON each: which port, which trouble, until which moment of the monotonic clock. Every fetch
-that begins to come in is reported on standard output with its time, whatever becomes of it behind the proxy.
+`ROUTES` is a JSON list of [port to listen on, port of the cache, id of the cache]. Orders come in on standard
+input (`messages`). Every fetch that starts to arrive is reported on standard output with its time, whatever
+becomes of it behind the proxy.
 """
 
 from __future__ import annotations
 
 import json
-import os
 import random
 import sys
 import time
 from collections import deque
 from dataclasses import dataclass, field
 from functools import partial
+from typing import NamedTuple
 
 import trio
 
-from edge_router.fault_injection.observations import Begun
-from edge_router.fault_injection.protocol import CommandScanner, fields_from
-from edge_router.fault_injection.scenario import Trouble
+from edge_router.fault_injection.messages import InjectFault, ProcessReady, read_orders, send_to_harness
+from edge_router.fault_injection.network import LOOPBACK, reset_connection
+from edge_router.fault_injection.observations import AttemptStarted
+from edge_router.fault_injection.protocol import ArrayDecoder, decode_fields
+from edge_router.fault_injection.scenario import FaultKind
 
-RESET = b"\1\0\0\0\0\0\0\0"  # SO_LINGER of 0 seconds: a close sends a reset
-PIECE = 7  # bytes passed on at once where the way is slow
-CHUNK = 65_536
-LOOK_EVERY, LOOKS = 0.01, 100  # seconds between two measures of our own lateness, and how many count
-SLOW_PIECES = 40  # pieces of a chunk that go slowly, the rest at once
+RECEIVE_SIZE = 65_536
+SLOW_PIECE_SIZE = 7  # bytes sent at once on a slow link
+SLOW_PIECES = 40  # pieces of one chunk that are sent slowly, the rest at once
+SLOW_PIECE_INTERVAL = 0.001  # seconds
+RESET_SHARE = 0.7  # of the open connections, those that FaultKind.RESET ends
+DELAY_SAMPLE_INTERVAL, DELAY_SAMPLES = 0.01, 100  # seconds between two samples, and how many are kept
 
 
-def reset(stream: trio.SocketStream) -> None:
-    """Ends a connection with a reset."""
-    stream.socket.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_LINGER, RESET)
-    stream.socket.close()
+class Route(NamedTuple):
+    """One port of the proxy and the cache behind it."""
+
+    port: int
+    cache_port: int
+    cache_id: int
 
 
 @dataclass(slots=True)
-class Passage:
-    """What one direction holds that has not been passed on."""
+class ForwardBuffer:
+    """Bytes of one direction that were received and not sent on yet."""
 
     chunks: deque[bytes] = field(default_factory=deque)
-    more: trio.Event = field(default_factory=trio.Event)
+    changed: trio.Event = field(default_factory=trio.Event)
     ended: bool = False
 
     def put(self, data: bytes) -> None:
-        """Bytes came in; none at the end."""
+        """Appends received bytes; empty at the end of the stream."""
         if data:
             self.chunks.append(data)
         else:
             self.ended = True
-        self.more.set()
+        self.changed.set()
+
+    async def wait(self) -> None:
+        """Waits for the next `put`."""
+        self.changed = trio.Event()
+        await self.changed.wait()
 
 
-class Proxy:
-    """All pairs of ports."""
+class FaultProxy:
+    """All routes, their present faults and their open connections."""
 
-    def __init__(self, seed: int, pairs: list[tuple[int, int, int]]) -> None:
+    def __init__(self, seed: int, routes: list[Route]) -> None:
         self._random = random.Random(seed)
-        self._late: deque[float] = deque((0.0,), maxlen=LOOKS)
-        self._troubles: dict[tuple[int, Trouble], float] = {}
-        self._open: dict[int, set[trio.CancelScope]] = {port: set() for port, _, _ in pairs}
+        self._delay_samples: deque[float] = deque((0.0,), maxlen=DELAY_SAMPLES)
+        self._fault_until: dict[tuple[int, FaultKind], float] = {}  # by port, monotonic seconds
+        self._connections: dict[int, set[trio.CancelScope]] = {route.port: set() for route in routes}
 
-    async def watch_lateness(self) -> None:
-        """Measures by how much this process runs late itself."""
+    async def sample_own_delay(self) -> None:
+        """Measures by how much this process itself runs late, so that the oracle can allow for it."""
         while True:
-            due = trio.current_time() + LOOK_EVERY
+            due = trio.current_time() + DELAY_SAMPLE_INTERVAL
             await trio.sleep_until(due)
-            self._late.append(trio.current_time() - due)
-
-    def _on(self, port: int, trouble: Trouble) -> bool:
-        return time.monotonic() < self._troubles.get((port, trouble), 0.0)
-
-    async def orders(self) -> None:
-        """Carries out what the harness orders; ends the process when the harness is gone."""
-        async for line in trio.wrap_file(sys.stdin):
-            order = json.loads(line)
-            port, trouble = order["port"], Trouble(order["trouble"])
-            self._troubles[port, trouble] = order["until"]
-            if trouble is Trouble.RESET:
-                for scope in list(self._open[port]):
-                    if self._random.random() < 0.7:
-                        scope.cancel()
-        os._exit(0)
-
-    async def serve(self, port: int, behind: int, cache: int, near: trio.SocketStream) -> None:
-        """One connection: both directions until one of them ends, or a reset."""
+            self._delay_samples.append(trio.current_time() - due)
+
+    def _has_fault(self, port: int, kind: FaultKind) -> bool:
+        return time.monotonic() < self._fault_until.get((port, kind), 0.0)
+
+    async def _wait_while(self, port: int, kind: FaultKind) -> None:
+        while self._has_fault(port, kind):
+            await trio.sleep(0.02)
+
+    async def follow_orders(self) -> None:
+        """Carries out the orders of the harness until it ends."""
+        async for order in read_orders():
+            if not isinstance(order, InjectFault) or order.port is None:
+                continue
+            self._fault_until[order.port, order.kind] = order.until
+            if order.kind is FaultKind.RESET:
+                self._reset_connections(order.port)
+
+    def _reset_connections(self, port: int) -> None:
+        for scope in list(self._connections[port]):
+            if self._random.random() < RESET_SHARE:
+                scope.cancel()
+
+    async def serve(self, route: Route, router: trio.SocketStream) -> None:
+        """Forwards one connection in both directions until one of them ends, then resets both sides."""
+        cache: trio.SocketStream | None = None
         with trio.CancelScope() as scope:
-            self._open[port].add(scope)
-            forth, back = Passage(), Passage()
+            self._connections[route.port].add(scope)
+            to_cache, to_router = ForwardBuffer(), ForwardBuffer()
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._take_in, near, forth, CommandScanner(), cache)
-                far = await self._connect(port, behind)
-                if far is not None:
-                    nursery.start_soon(self._take_in, far, back, None, cache)
-                    nursery.start_soon(self._pass_on, port, forth, far, nursery.cancel_scope)
-                    nursery.start_soon(self._pass_on, port, back, near, nursery.cancel_scope)
+                nursery.start_soon(self._receive, router, to_cache, route.cache_id)
+                cache = await self._connect(route)
+                if cache is not None:
+                    nursery.start_soon(self._receive, cache, to_router, None)
+                    nursery.start_soon(self._forward, route.port, to_cache, cache, nursery.cancel_scope)
+                    nursery.start_soon(self._forward, route.port, to_router, router, nursery.cancel_scope)
                 else:
                     nursery.cancel_scope.cancel()
-        self._open[port].discard(scope)
-        reset(near)
-        if far is not None:
-            reset(far)
+        self._connections[route.port].discard(scope)
+        reset_connection(router)
+        if cache is not None:
+            reset_connection(cache)
 
-    async def _connect(self, port: int, behind: int) -> trio.SocketStream | None:
-        if self._on(port, Trouble.LATE):
+    async def _connect(self, route: Route) -> trio.SocketStream | None:
+        if self._has_fault(route.port, FaultKind.SLOW_CONNECT):
             await trio.sleep(self._random.uniform(0.1, 1.5))
-        await self._wait_out(port, Trouble.PARTITION)
+        await self._wait_while(route.port, FaultKind.PARTITION)
         try:
-            return await trio.open_tcp_stream("127.0.0.1", behind)
+            return await trio.open_tcp_stream(LOOPBACK, route.cache_port)
         except OSError:
             return None
 
-    async def _wait_out(self, port: int, trouble: Trouble) -> None:
-        while self._on(port, trouble):
-            await trio.sleep(0.02)
+    async def _receive(self, source: trio.SocketStream, buffer: ForwardBuffer, cache_id: int | None) -> None:
+        """Receives at once, whatever happens behind: an attempt has started once a router has written it.
 
-    async def _take_in(
-        self, source: trio.SocketStream, passage: Passage, scanner: CommandScanner | None, cache: int
-    ) -> None:
-        """Reads at once, whatever happens behind: what a router has written has begun."""
+        With a cache id, the bytes are commands to that cache, and the fetches among them are reported.
+        """
+        decoder = ArrayDecoder()
         try:
-            while data := await source.receive_some(CHUNK):
-                now = time.monotonic()
-                for begun_at, items in scanner.feed(now, data) if scanner else ():
-                    if items[0] == b"fetch":
-                        self._report(begun_at, cache, items)
-                passage.put(data)
+            while data := await source.receive_some(RECEIVE_SIZE):
+                if cache_id is not None:
+                    for started_at, items in decoder.feed(time.monotonic(), data):
+                        self._report(started_at, cache_id, items)
+                buffer.put(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
-        passage.put(b"")
-
-    def _report(self, at: float, cache: int, items: list[bytes]) -> None:
-        fields = fields_from(items[2])
-        source = int(fields.get("from", "s-0")[2:], 16)
-        print(
-            Begun(
-                at, cache, items[1].decode(), fields["cls"], float(fields["limit"]), source, max(self._late)
-            ).line(),
-            flush=True,
+        buffer.put(b"")
+
+    def _report(self, started_at: float, cache_id: int, items: list[bytes]) -> None:
+        if items[0] != b"fetch":
+            return
+        fields = decode_fields(items[2])
+        report = AttemptStarted(
+            at=started_at,
+            cache_id=cache_id,
+            request_id=items[1].decode(),
+            class_name=fields["cls"],
+            limit_ms=float(fields["limit"]),
+            source_id=int(fields.get("from", "s-0").removeprefix("s-"), 16),
+            proxy_delay=max(self._delay_samples),
         )
+        send_to_harness(report)
 
-    async def _pass_on(
-        self, port: int, passage: Passage, sink: trio.SocketStream, scope: trio.CancelScope
+    async def _forward(
+        self, port: int, buffer: ForwardBuffer, sink: trio.SocketStream, scope: trio.CancelScope
     ) -> None:
-        """One direction. After a partition the connection is reset: nothing held back comes through later."""
+        """Sends one direction on. After a partition it resets, so that nothing held back arrives later."""
         try:
-            while passage.chunks or not passage.ended:
-                if not passage.chunks:
-                    passage.more = trio.Event()
-                    await passage.more.wait()
+            while buffer.chunks or not buffer.ended:
+                if not buffer.chunks:
+                    await buffer.wait()
                     continue
-                if self._on(port, Trouble.PARTITION):
-                    await self._wait_out(port, Trouble.PARTITION)
+                if self._has_fault(port, FaultKind.PARTITION):
+                    await self._wait_while(port, FaultKind.PARTITION)
                     break
-                await self._write(sink, passage.chunks.popleft(), self._on(port, Trouble.SLOW))
+                slow = self._has_fault(port, FaultKind.SLOW_LINK)
+                await self._send(sink, buffer.chunks.popleft(), slow)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
         scope.cancel()
 
     @staticmethod
-    async def _write(sink: trio.SocketStream, data: bytes, slowly: bool) -> None:
-        slow = SLOW_PIECES * PIECE if slowly else 0
-        for at in range(0, min(len(data), slow), PIECE):
-            await sink.send_all(data[at : min(at + PIECE, slow)])
-            await trio.sleep(0.001)
-        if len(data) > slow:
-            await sink.send_all(data[slow:])
+    async def _send(sink: trio.SocketStream, data: bytes, slow: bool) -> None:
+        slow_size = SLOW_PIECES * SLOW_PIECE_SIZE if slow else 0
+        for start in range(0, min(len(data), slow_size), SLOW_PIECE_SIZE):
+            await sink.send_all(data[start : min(start + SLOW_PIECE_SIZE, slow_size)])
+            await trio.sleep(SLOW_PIECE_INTERVAL)
+        if len(data) > slow_size:
+            await sink.send_all(data[slow_size:])
 
 
-async def _main(seed: int, pairs: list[tuple[int, int, int]]) -> None:
-    proxy = Proxy(seed, pairs)
+async def _main(seed: int, routes: list[Route]) -> None:
+    proxy = FaultProxy(seed, routes)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(proxy.orders)
-        nursery.start_soon(proxy.watch_lateness)
-        for port, behind, cache in pairs:
-            await nursery.start(
-                partial(trio.serve_tcp, host="127.0.0.1"), partial(proxy.serve, port, behind, cache), port
-            )
-        print(json.dumps({"event": "ready"}), flush=True)
+        nursery.start_soon(proxy.follow_orders)
+        nursery.start_soon(proxy.sample_own_delay)
+        for route in routes:
+            serve = partial(proxy.serve, route)
+            await nursery.start(partial(trio.serve_tcp, host=LOOPBACK), serve, route.port)
+        send_to_harness(ProcessReady(int(time.time() * 1000)))
 
 
 if __name__ == "__main__":
-    trio.run(_main, int(sys.argv[1]), [tuple(pair) for pair in json.loads(sys.argv[2])])
+    trio.run(_main, int(sys.argv[1]), [Route(*route) for route in json.loads(sys.argv[2])])
--- a/edge_router/fault_injection/scenario.py
+++ b/edge_router/fault_injection/scenario.py
@@ -1,4 +1,4 @@
-"""One run of the soak, drawn from a seed: settings, fleet, traffic, and the faults with their times."""
+"""One run of the fault injection, drawn from a seed: settings, fleet, traffic and scheduled faults."""
 
 from __future__ import annotations
 
@@ -7,110 +7,83 @@
 from enum import StrEnum
 from typing import Any
 
-from edge_router.fault_injection.plan import Call, Fault
+from edge_router.fault_injection.system_call_faults import SystemCall, SystemCallFault
 
 ZONES = ("hub", "edge")
-KINDS = ("box", "parent", "origin")
-CACHE_ID, PARENT_ID, ORIGIN_ID = 0x100, 0x200, 0x300
-FIRST_FAULT = 3.0  # seconds after all routers are ready
-PACE_KB = 4000.0  # KB a second of one transfer, as the settings tell it
-
-
-class Trouble(StrEnum):
-    """What can go wrong at a time; the comment tells what it happens to."""
-
-    HANG = "hang"  # a cache takes requests and answers none
-    STOP = "stop"  # a cache process is stopped (SIGSTOP) and goes on later
-    KILL = "kill"  # a cache process is killed and starts anew, cold
-    RESET = "reset"  # connections to a cache are reset by the proxy
-    PARTITION = "partition"  # the proxy passes nothing on, to and from a cache
-    SLOW = "slow"  # the proxy passes bytes on in small pieces, with pauses
-    LATE = "late"  # the proxy accepts connections and begins to pass on only later
-    ERRORS = "errors"  # a cache answers `error` or `full`
-    SPOILT = "spoilt"  # a cache answers what can't be read, twice, or only in part
-    FORGET = "forget"  # a cache closes its idle connections with a reset
-    DRAIN = "drain"  # the list says that a cache drains, then that it is gone, then that it is back
+ENDPOINT_KINDS = ("box", "parent", "origin")
+FIRST_CACHE_ID, FIRST_PARENT_ID, ORIGIN_ID = 0x100, 0x200, 0x300
+FIRST_FAULT_AT = 3.0  # seconds after the start of the traffic
+QUIET_END = 4.0  # seconds at the end of the traffic in which no fault starts
+CLIENT_BANDWIDTH_KB = 4000.0  # KB a second of one transfer, as the settings give it
+SECOND_FAULT_CHANCE = 0.4  # of each fault, that another one starts at about the same time
+
+
+class FaultKind(StrEnum):
+    """What can go wrong in the router's environment; the comment says what happens."""
+
+    HANG = "hang"  # a cache accepts requests and answers none
+    PAUSE = "pause"  # a cache process is stopped (SIGSTOP) and continues later
+    KILL = "kill"  # a cache process is killed and restarts with no copies
+    RESET = "reset"  # the proxy resets connections to a cache
+    PARTITION = "partition"  # the proxy forwards nothing, to and from a cache
+    SLOW_LINK = "slow-link"  # the proxy forwards bytes in small pieces, with pauses
+    SLOW_CONNECT = "slow-connect"  # the proxy accepts connections and starts to forward only later
+    ERROR_RESPONSES = "error-responses"  # a cache answers with an error or with 'overloaded'
+    CORRUPT_RESPONSES = "corrupt-responses"  # a cache's answers are malformed, sent twice, or cut short
+    RESET_IDLE = "reset-idle"  # a cache resets its idle connections
+    DRAIN = "drain"  # the change log says that a cache drains, then that it is removed, then that it is back
     PURGE = "purge"  # an object or a group is purged
-    QUIET_LOG = "quiet-log"  # the change log says nothing more on its connections
-    BROKEN_LOG = "broken-log"  # the change log's connections are reset
-    SLOW_LOG = "slow-log"  # whole lists come in over seconds
-    MOVED_LOG = "moved-log"  # a new configuration and SIGHUP: the change log is elsewhere
+    SILENT_LOG = "silent-log"  # the change log sends nothing more on its connections
+    RESET_LOG = "reset-log"  # the change log's connections are reset
+    SLOW_LOG = "slow-log"  # complete lists take seconds to arrive
+    MOVED_LOG = "moved-log"  # a new configuration and SIGHUP: the change log has another address
     RELOADS = "reloads"  # several new configurations in quick succession, back to the first address
-    RESTART = "restart"  # a router gets SIGTERM and starts anew
-    CRASH = "crash"  # a router gets SIGKILL and starts anew
-    BURST = "burst"  # clients ask much more
-    BAD_CLIENTS = "bad-clients"  # clients that send noise, halves or bodies without end
-    FROZEN = "frozen"  # a router process is stopped for some hundred milliseconds
+    RESTART = "restart"  # a router gets SIGTERM and restarts
+    CRASH = "crash"  # a router gets SIGKILL and restarts
+    BURST = "burst"  # clients send many more requests
+    BAD_CLIENTS = "bad-clients"  # clients send noise, incomplete requests or bodies without end
+    ROUTER_PAUSE = "router-pause"  # a router process is stopped for some hundred milliseconds
 
 
 @dataclass(frozen=True, slots=True)
-class Step:
-    """One trouble: when (seconds after the start of the traffic), for how long, and whom it strikes."""
+class ScheduledFault:
+    """One fault: when (seconds after the start of the traffic), for how many seconds, and what it affects.
+
+    `target` chooses a cache or a router, modulo their number.
+    """
 
     at: float
-    length: float
-    trouble: Trouble
+    duration: float
+    kind: FaultKind
     target: int
 
     def text(self) -> str:
         """One line for the report."""
-        return f"{self.at:6.2f} s  {self.trouble:<11} target {self.target} for {self.length:.2f} s"
+        return f"{self.at:6.2f} s  {self.kind:<17} target {self.target} for {self.duration:.2f} s"
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """All of one run."""
+    """Everything that a seed fixes for one run."""
 
     seed: int
     routers: int
     caches: int
     seconds: float
     rate: float  # requests a second at each router
-    steps: tuple[Step, ...]
+    faults: tuple[ScheduledFault, ...]
     # By router; the times count from the start of the traffic.
-    system_faults: dict[int, tuple[Fault, ...]] = field(default_factory=dict)
+    system_call_faults: dict[int, tuple[SystemCallFault, ...]] = field(default_factory=dict)
 
     def settings(self) -> dict[str, Any]:
-        """The settings that the routers get."""
-        effects = (
-            ("photo", "pure", 2000.0, 400.0),
-            ("page", "pure", 1500.0, 400.0),
-            ("order", "side_effect", 2000.0, 600.0),
-            ("vote", "token", 2000.0, 600.0),
-        )
+        """The settings that the routers get, in the form of the platform's configuration file."""
         return {
             "areas": list(ZONES),
-            "models": list(KINDS),
+            "models": list(ENDPOINT_KINDS),
             "zone": 1,
             "fleet_size": self.routers,
-            "classes": [
-                {
-                    "name": name,
-                    "importance": 1.0,
-                    "on_time": aim,
-                    "aim_stretch": 1.0,
-                    "deadline": deadline,
-                    "effect": effect,
-                    "late_worth": 0.2,
-                    "group": "all",
-                    "window": 1200.0,
-                }
-                for name, effect, deadline, aim in effects
-            ],
-            "domain": {
-                "client_kb_per_s": PACE_KB,
-                "heed_within": 500.0,
-                "instances_by_zone": [0, self.routers],
-                "joins": False,
-                "never_kept": [False, False, True, True],
-                "lifetime_by_class": [0.0, 10_000.0, 0.0, 0.0],
-                "stale_for": [0.0, 5000.0, 0.0, 0.0],
-                "purge_settles": 6000.0,
-                "shield_kind": 1,
-                "store_kind": 2,
-                "may_pass_by": False,
-                "zone_link_kb_per_s": [0.0, 0.0],
-            },
+            "classes": _class_settings(),
+            "domain": _domain_settings(self.routers),
             "limits": {
                 "cancel": self.seed % 4 != 3,
                 "connect_timeout": 400.0,
@@ -132,61 +105,106 @@
         }
 
 
-_SYSTEM_FAULTS = (
-    (Call.ACCEPT, "ECONNABORTED"),
-    (Call.ACCEPT, "ENFILE"),
-    (Call.ACCEPT, "ENOBUFS"),
-    (Call.SOCKET, "ENFILE"),
-    (Call.SOCKET, "EMFILE"),
-    (Call.CONNECT, "EADDRNOTAVAIL"),
-    (Call.CONNECT, "ENETUNREACH"),
-    (Call.CONNECT, "ENOBUFS"),
-    (Call.CONNECT, "ETIMEDOUT"),
-    (Call.OPEN, "ENFILE"),
-    (Call.OPEN, "EIO"),
-    (Call.SEND, ""),
-    (Call.RECEIVE, ""),
-    (Call.SEND, "EHOSTUNREACH"),
-    (Call.RECEIVE, "ETIMEDOUT"),
+def _class_settings() -> list[dict[str, Any]]:
+    classes = (
+        ("photo", "pure", 2000.0, 400.0),
+        ("page", "pure", 1500.0, 400.0),
+        ("order", "side_effect", 2000.0, 600.0),
+        ("vote", "token", 2000.0, 600.0),
+    )
+    return [
+        {
+            "name": name,
+            "importance": 1.0,
+            "on_time": latency_objective,
+            "aim_stretch": 1.0,
+            "deadline": deadline,
+            "effect": effect,
+            "late_worth": 0.2,
+            "group": "all",
+            "window": 1200.0,
+        }
+        for name, effect, deadline, latency_objective in classes
+    ]
+
+
+def _domain_settings(routers: int) -> dict[str, Any]:
+    return {
+        "client_kb_per_s": CLIENT_BANDWIDTH_KB,
+        "heed_within": 500.0,
+        "instances_by_zone": [0, routers],
+        "joins": False,
+        "never_kept": [False, False, True, True],
+        "lifetime_by_class": [0.0, 10_000.0, 0.0, 0.0],
+        "stale_for": [0.0, 5000.0, 0.0, 0.0],
+        "purge_settles": 6000.0,
+        "shield_kind": 1,
+        "store_kind": 2,
+        "may_pass_by": False,
+        "zone_link_kb_per_s": [0.0, 0.0],
+    }
+
+
+_FAILING_CALLS = (
+    (SystemCall.ACCEPT, "ECONNABORTED"),
+    (SystemCall.ACCEPT, "ENFILE"),
+    (SystemCall.ACCEPT, "ENOBUFS"),
+    (SystemCall.SOCKET, "ENFILE"),
+    (SystemCall.SOCKET, "EMFILE"),
+    (SystemCall.CONNECT, "EADDRNOTAVAIL"),
+    (SystemCall.CONNECT, "ENETUNREACH"),
+    (SystemCall.CONNECT, "ENOBUFS"),
+    (SystemCall.CONNECT, "ETIMEDOUT"),
+    (SystemCall.OPEN, "ENFILE"),
+    (SystemCall.OPEN, "EIO"),
+    (SystemCall.SEND, ""),
+    (SystemCall.RECEIVE, ""),
+    (SystemCall.SEND, "EHOSTUNREACH"),
+    (SystemCall.RECEIVE, "ETIMEDOUT"),
 )
-_CLOCK_STEPS = (-3600.0, -30.0, -1.5, 2.5, 30.0, 3600.0)
+_CLOCK_STEPS = (-3600.0, -30.0, -1.5, 2.5, 30.0, 3600.0)  # seconds
+_FOREVER = 1e6  # seconds
 
 
-def _system_faults(random_numbers: random.Random, seconds: float) -> tuple[Fault, ...]:
+def _draw_system_call_faults(generator: random.Random, seconds: float) -> tuple[SystemCallFault, ...]:
     """Faults of one router's own system: calls that fail for a moment, and perhaps a clock that steps."""
     faults = []
-    for _ in range(random_numbers.randint(0, 3)):
-        call, error = random_numbers.choice(_SYSTEM_FAULTS)
-        start = random_numbers.uniform(FIRST_FAULT, seconds - 2.0)
-        broken = error in ("EHOSTUNREACH", "ETIMEDOUT") and call is not Call.CONNECT
-        length, chance = (0.3, 0.05) if broken else (random_numbers.uniform(0.05, 1.0), 0.5)
-        faults.append(Fault(call, error, start, start + length, chance))
-    if random_numbers.random() < 0.5:
-        start = random_numbers.uniform(FIRST_FAULT, seconds - 2.0)
-        end = start + random_numbers.choice((2.0, 1e6))
-        faults.append(Fault(Call.CLOCK, start=start, end=end, step=random_numbers.choice(_CLOCK_STEPS)))
+    for _ in range(generator.randint(0, 3)):
+        call, error = generator.choice(_FAILING_CALLS)
+        start = generator.uniform(FIRST_FAULT_AT, seconds - 2.0)
+        breaks_connections = error in ("EHOSTUNREACH", "ETIMEDOUT") and call is not SystemCall.CONNECT
+        duration, chance = (0.3, 0.05) if breaks_connections else (generator.uniform(0.05, 1.0), 0.5)
+        faults.append(SystemCallFault(call, error, start, start + duration, chance))
+    if generator.random() < 0.5:
+        start = generator.uniform(FIRST_FAULT_AT, seconds - 2.0)
+        end = start + generator.choice((2.0, _FOREVER))
+        step = generator.choice(_CLOCK_STEPS)
+        faults.append(SystemCallFault(SystemCall.CLOCK, start=start, end=end, step=step))
     return tuple(faults)
 
 
-def draw(seed: int, seconds: float = 20.0, routers: int = 6, caches: int = 6, rate: float = 20.0) -> Scenario:
-    """The scenario of a seed. Troubles come one a second or so and last long enough to overlap."""
-    random_numbers = random.Random(seed)
-    steps, at = [], FIRST_FAULT
-    while at < seconds - 4.0:
-        trouble = random_numbers.choice(list(Trouble))
-        target = random_numbers.randrange(1 << 16)
-        steps.append(Step(at, random_numbers.uniform(0.3, 4.0), trouble, target))
-        if random_numbers.random() < 0.4:  # two at the very same time
-            other = random_numbers.choice(list(Trouble))
-            steps.append(
-                Step(
-                    at + random_numbers.choice((0.0, 0.01, 0.05, 0.2)),
-                    random_numbers.uniform(0.3, 3.0),
-                    other,
-                    random_numbers.randrange(1 << 16),
-                )
-            )
-        at += random_numbers.uniform(0.3, 1.5)
-    faults = {number: _system_faults(random_numbers, seconds) for number in range(routers)}
-    steps.sort(key=lambda step: step.at)
-    return Scenario(seed, routers, caches, seconds, rate, tuple(steps), faults)
+def _draw_faults(generator: random.Random, seconds: float) -> tuple[ScheduledFault, ...]:
+    """Faults about once a second, long enough to overlap; some start together."""
+    kinds = list(FaultKind)
+    faults, at = [], FIRST_FAULT_AT
+    while at < seconds - QUIET_END:
+        kind = generator.choice(kinds)
+        target = generator.randrange(1 << 16)
+        faults.append(ScheduledFault(at, generator.uniform(0.3, 4.0), kind, target))
+        if generator.random() < SECOND_FAULT_CHANCE:
+            kind = generator.choice(kinds)
+            second_at = at + generator.choice((0.0, 0.01, 0.05, 0.2))
+            duration = generator.uniform(0.3, 3.0)
+            faults.append(ScheduledFault(second_at, duration, kind, generator.randrange(1 << 16)))
+        at += generator.uniform(0.3, 1.5)
+    return tuple(sorted(faults, key=lambda fault: fault.at))
+
+
+def draw_scenario(
+    seed: int, seconds: float = 20.0, routers: int = 6, caches: int = 6, rate: float = 20.0
+) -> Scenario:
+    """The scenario of a seed."""
+    generator = random.Random(seed)
+    faults = _draw_faults(generator, seconds)
+    system_call_faults = {number: _draw_system_call_faults(generator, seconds) for number in range(routers)}
+    return Scenario(seed, routers, caches, seconds, rate, faults, system_call_faults)
--- a/edge_router/fault_injection/plan.py
+++ b/edge_router/fault_injection/system_call_faults.py
@@ -1,7 +1,8 @@
-"""The faults that a process injects into itself: which call fails, how, and when. Serialized as JSON.
+"""The faults that a process injects into its own system calls: which call fails, how, and when.
 
 A fault is active while the system's monotonic clock, which all processes of a machine share, is within its
-span, or while its flag file exists. So a harness can fix the whole plan of a run before the run begins.
+time span, or while its flag file exists. So a harness can fix all faults of a process before it starts, and
+hand them over as JSON in the environment.
 """
 
 from __future__ import annotations
@@ -14,10 +15,10 @@
 from dataclasses import asdict, dataclass
 from enum import StrEnum
 
-PLAN_VARIABLE = "SOAK_FAULTS"  # environment variable that holds the plan
+FAULTS_VARIABLE = "SOAK_FAULTS"  # environment variable that holds the `FaultSchedule` as JSON
 
 
-class Call(StrEnum):
+class SystemCall(StrEnum):
     """The calls that can be made to fail."""
 
     CLOCK = "clock"  # the wall clock; the fault's `step` is added to it
@@ -30,14 +31,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
+class SystemCallFault:
     """One fault of one call.
 
-    `error` is the name of an errno; without one, `send` and `receive` move a single byte. `start` and `end`
-    are seconds of `time.monotonic()`; `flag` is the path of a file.
+    `error` is the name of an errno; without one, `send` and `receive` transfer a single byte. `start` and
+    `end` are seconds of `time.monotonic()`; `chance` is the probability that a call fails while the fault is
+    active; `flag` is the path of a file.
     """
 
-    call: Call
+    call: SystemCall
     error: str = ""
     start: float = 0.0
     end: float = 0.0
@@ -47,33 +49,35 @@
     flag: str = ""
 
     def active(self, now: float) -> bool:
-        """Whether the fault may strike at that moment."""
+        """Whether calls can fail at that moment."""
         if self.flag and os.path.exists(self.flag):
             return True
         return self.start <= now < self.end
 
 
-class FaultPlan:
-    """All faults of one process, with random numbers of its own so that a seed replays them."""
+class FaultSchedule:
+    """All faults of one process, with a random generator of its own so that a seed replays them."""
 
-    def __init__(self, faults: list[Fault], seed: int = 0) -> None:
+    def __init__(self, faults: list[SystemCallFault], seed: int = 0) -> None:
         self.faults = faults
         self.seed = seed
         self._random = random.Random(seed)
 
     @classmethod
-    def from_json(cls, text: str) -> FaultPlan:
-        """The plan that `to_json` has written; raises ValueError if the text is none."""
+    def from_json(cls, text: str) -> FaultSchedule:
+        """The schedule that `to_json` wrote; raises ValueError if the text is no JSON."""
         table = json.loads(text)
-        faults = [Fault(**{**entry, "call": Call(entry["call"])}) for entry in table["faults"]]
+        faults = [
+            SystemCallFault(**{**entry, "call": SystemCall(entry["call"])}) for entry in table["faults"]
+        ]
         return cls(faults, int(table["seed"]))
 
     def to_json(self) -> str:
-        """The plan as text for the environment."""
+        """The schedule as text for the environment."""
         return json.dumps({"seed": self.seed, "faults": [asdict(fault) for fault in self.faults]})
 
-    def strikes(self, call: Call, path: str = "") -> Fault | None:
-        """The fault that strikes this call now, if any."""
+    def next_fault(self, call: SystemCall, path: str = "") -> SystemCallFault | None:
+        """The fault that this call has now, if any."""
         now = time.monotonic()
         for fault in self.faults:
             if fault.call is not call or fault.path not in path or not fault.active(now):
@@ -83,13 +87,15 @@
         return None
 
     def clock_step(self) -> float:
-        """Seconds by which the wall clock is off now."""
+        """Seconds by which the wall clock is wrong now."""
         now = time.monotonic()
-        return sum(fault.step for fault in self.faults if fault.call is Call.CLOCK and fault.active(now))
+        return sum(
+            fault.step for fault in self.faults if fault.call is SystemCall.CLOCK and fault.active(now)
+        )
 
 
-def raise_fault(fault: Fault) -> None:
-    """Raises the fault's error, if it has one; the right subclass of OSError."""
+def raise_fault(fault: SystemCallFault) -> None:
+    """Raises the fault's error, if it has one, as the subclass of OSError that belongs to it."""
     if fault.error:
         number = getattr(errno, fault.error)
         raise OSError(number, os.strerror(number))
--- a/edge_router/proxy/invariants.py
+++ b/edge_router/proxy/invariants.py
@@ -1,7 +1,8 @@
 """Checks the rules at run time, where bytes leave the router, and counts what is broken.
 
-It trusts no decision: it looks at the attempts themselves. A violation is a log line `invariant-violation` with
-the request's id and a count `violation_RULE` in the statistics; the router goes on.
+It trusts no decision: it looks at the attempts themselves. A violation is a log line
+`invariant-violation` with the request's id and a count `violation_RULE` in the statistics; the router
+continues.
 """
 
 from __future__ import annotations
--- /dev/null
+++ b/examples/fake_backends.py
@@ -0,0 +1,170 @@
+"""Fake backends for one edge router: its caches, which make up the objects, and its change log.
+
+    python examples/fake_backends.py examples/config.json
+
+listens where the configuration says. It stores what was requested in memory (so the second request for an
+object is a hit) and prints a line a fetch. Commands on standard input go into the change log: `drain ID`,
+`up ID`, `purge GROUP`.
+"""
+
+from __future__ import annotations
+
+import json
+import struct
+import sys
+import time
+from dataclasses import dataclass
+from functools import partial
+from pathlib import Path
+from typing import Any
+
+import trio
+
+from edge_router.fault_injection.protocol import (
+    ArrayDecoder,
+    EndpointRecord,
+    EndpointState,
+    FrameType,
+    decode_fields,
+    encode_array,
+    encode_fields,
+    encode_frame,
+    encode_group_purge,
+)
+
+HEARTBEAT_INTERVAL = 1.0  # seconds
+NO_FIELDS = b"-"
+STATES = {"drain": EndpointState.DRAINING, "up": EndpointState.READY}  # by command
+
+
+@dataclass(frozen=True, slots=True)
+class StoredCopy:
+    """A copy that a cache has stored."""
+
+    etag: str
+    created_ms: int  # Unix milliseconds
+
+
+class FakeBackends:
+    """All caches, and the events of the change log so far."""
+
+    def __init__(self, config: dict[str, Any]) -> None:
+        self.endpoints = config["known"]["results"][0]["fleet"]["instances"]
+        self._settings = config["settings"]
+        self._first_event = self.last_event = config["known"]["seq"]
+        self._frames: list[bytes] = []
+        self._copies: dict[tuple[str, str, str], StoredCopy] = {}  # by cache, object and part
+
+    def frames_after(self, event: int) -> list[bytes]:
+        """The change log's events after that one."""
+        return self._frames[max(0, event - self._first_event) :]
+
+    def _publish(self, frame_type: FrameType, payload: bytes) -> None:
+        self.last_event += 1
+        self._frames.append(encode_frame(self.last_event, frame_type, payload))
+
+    def run_command(self, line: str) -> None:
+        """Carries out a line of standard input."""
+        command, _, value = line.strip().partition(" ")
+        endpoint = next((entry for entry in self.endpoints if entry["instanceId"] == value), None)
+        if command == "purge" and value.isdigit():
+            self._copies.clear()
+            self._publish(FrameType.GROUP_PURGED, encode_group_purge(int(value), int(time.time() * 1000)))
+        elif command in STATES and endpoint is not None:
+            self._publish(FrameType.ENDPOINT_CHANGES, self._record(endpoint, STATES[command]).encode())
+        else:
+            print(f"unknown command: {line.strip()!r}", flush=True)
+
+    def _record(self, endpoint: dict[str, Any], state: EndpointState) -> EndpointRecord:
+        return EndpointRecord(
+            endpoint_id=int(endpoint["instanceId"].removeprefix("s-"), 16),
+            port=int(endpoint["hostPort"].rpartition(":")[2]),
+            state=state,
+            zone=self._settings["areas"].index(endpoint["zone"]),
+            kind=self._settings["models"].index(endpoint["machineType"]),
+            weight=int(endpoint["weight"] * 1000),
+            started_ms=endpoint["startedAtMs"],
+        )
+
+    def respond(self, cache: str, command: list[bytes]) -> bytes:
+        """A cache's response to a command; empty for an `abort`."""
+        if command[0] == b"alive":
+            return encode_array(command[1], b"alive", NO_FIELDS, b"")
+        if command[0] != b"fetch":
+            return b""
+        fields = decode_fields(command[2])
+        name = (cache, fields["item"], fields["chunk"])
+        note = "hit" if name in self._copies else "filled" if "from" in fields else None
+        print(
+            f"{cache} {fields['cls']} {fields['item']} part {fields['chunk']}: {note or 'miss'}", flush=True
+        )
+        if note is None:
+            return encode_array(command[1], b"404", NO_FIELDS, b"")
+        copy = self._copies.get(name) or StoredCopy(f"{hash(name) & 0xFFFFFFFF:08x}", int(time.time() * 1000))
+        if self._is_cacheable(fields):
+            self._copies[name] = copy
+        headers = {"ver": copy.etag, "born": copy.created_ms, "tell": note, "meter": "inflight:1;util:0.1"}
+        if fields.get("seen") == copy.etag:
+            return encode_array(command[1], b"304", encode_fields(headers), b"")
+        body = f"{fields['item']}/{fields['chunk']}\n".encode() * 100
+        return encode_array(command[1], b"200", encode_fields(headers), body)
+
+    def _is_cacheable(self, fields: dict[str, str]) -> bool:
+        write_class = self._settings["classes"][-1]["name"]
+        return fields["cls"] != write_class and fields.get("rank", "0") != "0"
+
+
+async def serve_cache(backends: FakeBackends, cache: str, stream: trio.SocketStream) -> None:
+    """Serves one connection to a cache."""
+    decoder = ArrayDecoder()
+    async for data in stream:
+        for _, command in decoder.feed(trio.current_time(), bytes(data)):
+            if response := backends.respond(cache, command):
+                await stream.send_all(response)
+
+
+async def serve_change_log(backends: FakeBackends, stream: trio.SocketStream) -> None:
+    """Serves one connection to the change log."""
+    (event,) = struct.unpack(">Q", await stream.receive_some(8))
+    try:
+        while True:
+            for frame in backends.frames_after(event):
+                await stream.send_all(frame)
+            event = backends.last_event
+            await stream.send_all(encode_frame(event, FrameType.HEARTBEAT))
+            with trio.move_on_after(HEARTBEAT_INTERVAL):
+                while backends.last_event == event:
+                    await trio.sleep(0.02)
+    except (trio.BrokenResourceError, trio.ClosedResourceError):
+        return
+
+
+async def read_commands(backends: FakeBackends) -> None:
+    """Carries out the lines of standard input until its end."""
+    while line := await trio.to_thread.run_sync(sys.stdin.readline, abandon_on_cancel=True):
+        backends.run_command(line)
+
+
+async def main(path: str) -> None:
+    """Serves until it is stopped."""
+    config = json.loads(Path(path).read_bytes())
+    backends = FakeBackends(config)
+    async with trio.open_nursery() as nursery:
+        for endpoint in backends.endpoints:
+            host, _, port = endpoint["hostPort"].partition(":")
+            serve = partial(serve_cache, backends, endpoint["instanceId"])
+            await nursery.start(partial(trio.serve_tcp, serve, int(port), host=host))
+        host, _, port = config["changelog"].partition(":")
+        serve_log = partial(serve_change_log, backends)
+        await nursery.start(partial(trio.serve_tcp, serve_log, int(port), host=host))
+        print("the fake backends are up", flush=True)
+        nursery.start_soon(read_commands, backends)
+
+
+if __name__ == "__main__":
+    if len(sys.argv) != 2:
+        sys.exit("usage: fake_backends.py CONFIGURATION")
+    try:
+        trio.run(main, sys.argv[1])
+    except KeyboardInterrupt:
+        sys.exit(130)
--- a/tests/router_harness.py
+++ b/tests/router_harness.py
@@ -20,7 +20,7 @@
 from tcp_endpoints import free_address
 from waiting import TEST_TIMEOUT, wait_until
 
-from edge_router.fault_injection.plan import PLAN_VARIABLE, Fault, FaultPlan
+from edge_router.fault_injection.system_call_faults import FAULTS_VARIABLE, FaultSchedule, SystemCallFault
 
 SETTINGS: dict[str, Any] = {
     "areas": ["hub", "edge-1"],
@@ -81,7 +81,7 @@
         memory_mb: float = 192,
         sockets: int = 1024,
         env: dict[str, str] | None = None,
-        faults: Sequence[Fault] = (),
+        faults: Sequence[SystemCallFault] = (),
         **settings: Any,
     ) -> None:
         self.commands: queue.Queue[ReceivedCommand] = queue.Queue()
@@ -106,8 +106,8 @@
         self._descriptors, self._env = descriptors, env or {}
         self._module = "edge_router"
         if faults:
-            self._module = "edge_router.fault_injection.shim"
-            self._env[PLAN_VARIABLE] = FaultPlan(list(faults)).to_json()
+            self._module = "edge_router.fault_injection.faulty_router"
+            self._env[FAULTS_VARIABLE] = FaultSchedule(list(faults)).to_json()
         self.process = self.start()
 
     @staticmethod
--- a/tests/test_example.py
+++ b/tests/test_example.py
@@ -37,9 +37,12 @@
         process.communicate()
 
 
-def ask(address: str, *what: str) -> str:
+def send_request(address: str, *arguments: str) -> str:
     done = subprocess.run(
-        [sys.executable, str(EXAMPLES / "ask.py"), address, *what], capture_output=True, text=True, timeout=30
+        [sys.executable, str(EXAMPLES / "send_request.py"), address, *arguments],
+        capture_output=True,
+        text=True,
+        timeout=30,
     )
     assert done.returncode == 0, done.stdout + done.stderr
     return done.stdout
@@ -53,20 +56,22 @@
     config.write_text(text)
     found = re.search(r'"listen": "(.*?)"', text)
     assert found
-    depot = running(str(EXAMPLES / "toy_server.py"), str(config), said="toy depot is up", on="stdout")
+    fake_backends = running(
+        str(EXAMPLES / "fake_backends.py"), str(config), said="fake backends are up", on="stdout"
+    )
     with (
-        depot as toy,
+        fake_backends as backends,
         running(
             "-m", "edge_router", said="change-log-connected", on="stderr", RELAY_CONFIG=str(config)
         ) as router,
     ):
         for note in ("filled", "hit"):
-            answer = ask(found[1], "item-image", "7f3a9c21e0b4d655")
+            answer = send_request(found[1], "item-image", "7f3a9c21e0b4d655")
             assert "Status: 200 OK" in answer and answer.endswith("1900 bytes\n")
-            assert toy.stdout
-            assert toy.stdout.readline().endswith(f"item-image 7f3a9c21e0b4d655 part 0: {note}\n")
-        ask(found[1], "pick-confirm", "1")
-        assert toy.stdin and router.stderr
-        toy.stdin.write("drain s-00000011\n")
-        toy.stdin.flush()
+            assert backends.stdout
+            assert backends.stdout.readline().endswith(f"item-image 7f3a9c21e0b4d655 part 0: {note}\n")
+        send_request(found[1], "pick-confirm", "1")
+        assert backends.stdin and router.stderr
+        backends.stdin.write("drain s-00000011\n")
+        backends.stdin.flush()
         assert any("id=s-00000011 state=draining" in line for line in router.stderr)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The fault-injection run: a short one on real processes, and an oracle that finds planted violations."""
+"""Fault injection: one short run on real processes, and an oracle that finds each planted violation."""
 
 from __future__ import annotations
 
@@ -8,99 +8,126 @@
 
 import pytest
 
-from edge_router.fault_injection.cache_process import content
-from edge_router.fault_injection.observations import Answered, Asked, Begun, Observations, RouterLife, Told
-from edge_router.fault_injection.oracle import judge
-from edge_router.fault_injection.plan import Call, Fault, FaultPlan
-from edge_router.fault_injection.protocol import CommandScanner, resp_array
-from edge_router.fault_injection.scenario import draw
-
-ITEM, TAG = "00000000000000aa", f"{5000:x}"
-
-
-def good() -> Observations:
-    """One request served without fault, at a router that ran and stopped normally."""
-    asked = Asked(
-        "t1",
-        "n0",
-        "photo",
-        ITEM,
-        0,
-        3,
-        1.0,
+from edge_router.fault_injection.cache_process import content_of, etag_of
+from edge_router.fault_injection.observations import (
+    AttemptStarted,
+    CacheResponse,
+    ClientRequest,
+    EndpointChangeSent,
+    Observations,
+    PurgeSent,
+    RouterRun,
+)
+from edge_router.fault_injection.oracle import find_violations
+from edge_router.fault_injection.protocol import ArrayDecoder, EndpointState, encode_array
+from edge_router.fault_injection.scenario import draw_scenario
+from edge_router.fault_injection.system_call_faults import FaultSchedule, SystemCall, SystemCallFault
+
+OBJECT_ID, CREATED_MS = "00000000000000aa", 5000
+
+
+def observations_without_violation() -> Observations:
+    """One request that a cache served well, at a router that ran and stopped as it should."""
+    request = ClientRequest(
+        request_id="t1",
+        router="n0",
+        class_name="photo",
+        object_id=OBJECT_ID,
+        chunk=0,
+        group=3,
+        timeout=1.0,
         sent_at=10.0,
         answered_at=10.2,
+        answer_count=1,
         status=200,
-        answers=1,
-        answer_tag=TAG,
-        body=content(ITEM, "0", 5000),
+        response_etag=etag_of(CREATED_MS),
+        body=content_of(OBJECT_ID, "0", CREATED_MS),
     )
     return Observations(
-        asked=[asked],
-        begun=[Begun(10.01, 0x100, "t1", "photo", 970.0, 0x200, 0.0)],
-        answered=[Answered(10.1, 0x100, "t1", "200", 5000)],
-        told=[Told(1.0, "n0", 0x100, 0)],
-        lives=[RouterLife("n0", 0.0, ready_at=0.5, term_at=20.0, ended_at=21.0, exit_code=0)],
+        requests=[request],
+        attempts=[attempt(at=10.01)],
+        cache_responses=[CacheResponse(10.1, 0x100, "t1", "200", CREATED_MS)],
+        endpoint_changes=[EndpointChangeSent(1.0, "n0", 0x100, EndpointState.READY)],
+        router_runs=[RouterRun("n0", 0.0, ready_at=0.5, sigterm_at=20.0, ended_at=21.0, exit_code=0)],
     )
 
 
+def attempt(
+    at: float,
+    cache_id: int = 0x100,
+    class_name: str = "photo",
+    limit_ms: float = 970.0,
+    source_id: int = 0x200,
+) -> AttemptStarted:
+    return AttemptStarted(at, cache_id, "t1", class_name, limit_ms, source_id, proxy_delay=0.0)
+
+
 def plant_order_sent_twice(seen: Observations) -> None:
-    seen.asked[0].cls = "order"
-    seen.begun.append(Begun(10.05, 0x101, "t1", "order", 900.0, 0x200, 0.0))
+    seen.requests[0].class_name = "order"
+    seen.attempts.append(attempt(10.05, 0x101, "order", limit_ms=900.0))
+
+
+def plant_rejected_order(seen: Observations) -> None:
+    seen.requests[0].class_name, seen.requests[0].status = "order", 503
+    seen.cache_responses.clear()
 
 
-def plant_refused_order(seen: Observations) -> None:
-    seen.asked[0].cls, seen.asked[0].status = "order", 503
-    seen.answered.clear()
+def plant_drain(endpoint_id: int, state: EndpointState) -> Callable[[Observations], None]:
+    change = EndpointChangeSent(8.0, "n0", endpoint_id, state)
+    return lambda seen: seen.endpoint_changes.append(change)
 
 
 PLANTED: list[tuple[str, Callable[[Observations], None]]] = [
-    ("lost", lambda seen: setattr(seen.asked[0], "answered_at", 0.0)),
-    ("lost", lambda seen: setattr(seen.asked[0], "answered_at", 11.7)),
-    ("second-answer", lambda seen: setattr(seen.asked[0], "answers", 2)),
-    ("unreadable", lambda seen: setattr(seen.asked[0], "unreadable", "noise")),
-    ("wrong-bytes", lambda seen: setattr(seen.asked[0], "body", b"noise")),
-    ("false-current", lambda seen: setattr(seen.asked[0], "current", True)),
-    ("begun-after-leaving", lambda seen: setattr(seen.asked[0], "left_at", 9.5)),
-    ("begun-after-answer", lambda seen: seen.begun.append(Begun(10.5, 0x101, "t1", "photo", 1.0, 0, 0.0))),
-    ("deadline", lambda seen: setattr(seen.begun[0], "limit_ms", 1300.0)),
+    ("lost", lambda seen: setattr(seen.requests[0], "answered_at", None)),
+    ("lost", lambda seen: setattr(seen.requests[0], "answered_at", 11.7)),
+    ("second-answer", lambda seen: setattr(seen.requests[0], "answer_count", 2)),
+    ("unreadable", lambda seen: setattr(seen.requests[0], "parse_error", "noise")),
+    ("wrong-bytes", lambda seen: setattr(seen.requests[0], "body", b"noise")),
+    ("false-current", lambda seen: setattr(seen.requests[0], "not_modified", True)),
+    ("begun-after-leaving", lambda seen: setattr(seen.requests[0], "cancelled_at", 9.5)),
+    (
+        "begun-after-answer",
+        lambda seen: seen.attempts.append(attempt(10.5, 0x101, limit_ms=1.0, source_id=0)),
+    ),
+    ("deadline", lambda seen: setattr(seen.attempts[0], "limit_ms", 1300.0)),
     ("repeated", plant_order_sent_twice),
-    ("refused-after-run", plant_refused_order),
-    ("drain", lambda seen: seen.told.append(Told(8.0, "n0", 0x100, 1))),
-    ("drain", lambda seen: seen.told.append(Told(8.0, "n0", 0x200, 2))),
-    ("purge", lambda seen: seen.told.append(Told(8.0, "n0", item=ITEM, purged_unix_ms=5001))),
-    ("crash", lambda seen: setattr(seen.lives[0], "exit_code", 1)),
-    ("slow-to-ready", lambda seen: setattr(seen.lives[0], "ready_at", 11.0)),
-    ("discovery", lambda seen: seen.not_following.append("n0")),
-    ("log", lambda seen: setattr(seen.lives[0], "log", "1.0 bug where=here")),
+    ("refused-after-run", plant_rejected_order),
+    ("drain", plant_drain(0x100, EndpointState.DRAINING)),
+    ("drain", plant_drain(0x200, EndpointState.REMOVED)),
+    ("purge", lambda seen: seen.purges.append(PurgeSent(8.0, "n0", CREATED_MS + 1, object_id=OBJECT_ID))),
+    ("crash", lambda seen: setattr(seen.router_runs[0], "exit_code", 1)),
+    ("slow-to-ready", lambda seen: setattr(seen.router_runs[0], "ready_at", 11.0)),
+    ("discovery", lambda seen: seen.routers_behind_change_log.append("n0")),
+    ("log", lambda seen: setattr(seen.router_runs[0], "log", "1.0 internal-error where=here")),
 ]
 
 
 @pytest.mark.parametrize("rule, plant", PLANTED)
 def test_oracle_finds_each_planted_violation(rule: str, plant: Callable[[Observations], None]) -> None:
-    seen, scenario = good(), draw(1)
-    assert judge(seen, scenario) == []
+    seen, scenario = observations_without_violation(), draw_scenario(1)
+    assert find_violations(seen, scenario) == []
     plant(seen)
-    assert rule in {violation.rule for violation in judge(seen, scenario)}
+    assert rule in {violation.rule for violation in find_violations(seen, scenario)}
 
 
 def test_seed_determines_the_scenario() -> None:
-    assert draw(5) == draw(5)
-    assert draw(5) != draw(6)
+    assert draw_scenario(5) == draw_scenario(5)
+    assert draw_scenario(5) != draw_scenario(6)
 
 
-def test_fault_plan_round_trips_through_the_environment() -> None:
-    plan = FaultPlan([Fault(Call.CONNECT, "ENOBUFS", 1.0, 2.0, 0.5), Fault(Call.CLOCK, step=-3.0)], 9)
-    copy = FaultPlan.from_json(plan.to_json())
-    assert (copy.faults, copy.seed) == (plan.faults, plan.seed)
+def test_fault_schedule_round_trips_through_the_environment() -> None:
+    failing_connect = SystemCallFault(SystemCall.CONNECT, "ENOBUFS", 1.0, 2.0, 0.5)
+    schedule = FaultSchedule([failing_connect, SystemCallFault(SystemCall.CLOCK, step=-3.0)], 9)
+    copy = FaultSchedule.from_json(schedule.to_json())
+    assert (copy.faults, copy.seed) == (schedule.faults, schedule.seed)
 
 
 @pytest.mark.parametrize("size", [1, 3, 1000])
 def test_commands_are_parsed_across_any_split(size: int) -> None:
-    data = resp_array(b"fetch", b"t1", b"cls=a,limit=5", b"\r\n") + resp_array(b"abort", b"t1")
-    scanner, found = CommandScanner(), []
+    data = encode_array(b"fetch", b"t1", b"cls=a,limit=5", b"\r\n") + encode_array(b"abort", b"t1")
+    decoder, found = ArrayDecoder(), []
     for at in range(0, len(data), size):
-        found += [items for _, items in scanner.feed(0.0, data[at : at + size])]
+        found += [items for _, items in decoder.feed(0.0, data[at : at + size])]
     assert found == [[b"fetch", b"t1", b"cls=a,limit=5", b"\r\n"], [b"abort", b"t1"]]
 
 
--- a/tests/test_system_call_failures.py
+++ b/tests/test_system_call_failures.py
@@ -31,7 +31,7 @@
 from router_harness import SETTINGS, RouterHarness
 from waiting import TEST_TIMEOUT
 
-from edge_router.fault_injection.plan import Call, Fault
+from edge_router.fault_injection.system_call_faults import SystemCall, SystemCallFault
 
 
 def fetch_status(router: RouterHarness, client: FastCgiClient, ident: int = 1, **what: Any) -> int:
@@ -50,7 +50,9 @@
 ) -> None:
     flag = tmp_path / "stepped"
     classes = [{**entry, "on_time": 400.0} for entry in SETTINGS["classes"]]
-    router = start_router(faults=[Fault(Call.CLOCK, step=step, flag=str(flag))], classes=classes)
+    router = start_router(
+        faults=[SystemCallFault(SystemCall.CLOCK, step=step, flag=str(flag))], classes=classes
+    )
     client = router.connect()
     assert fetch_status(router, client) == 200
     flag.touch()
@@ -67,7 +69,7 @@
     start_router: Callable[..., RouterHarness], tmp_path: Path, step: float
 ) -> None:
     flag = tmp_path / "stepped"
-    router = start_router(faults=[Fault(Call.CLOCK, step=step, flag=str(flag))])
+    router = start_router(faults=[SystemCallFault(SystemCall.CLOCK, step=step, flag=str(flag))])
     client = router.connect()
     assert fetch_status(router, client) == 200
     flag.touch()
@@ -85,7 +87,7 @@
 
 def test_wrong_wall_clock_at_startup_is_detected(start_router: Callable[..., RouterHarness]) -> None:
     """Copies that just left the origin show the error of the local clock."""
-    router = start_router(faults=[Fault(Call.CLOCK, step=3600.0, end=math.inf)])
+    router = start_router(faults=[SystemCallFault(SystemCall.CLOCK, step=3600.0, end=math.inf)])
     client = router.connect()
 
     def serve() -> None:
@@ -120,25 +122,27 @@
 ) -> None:
     """The fault lasts until after a statistics line was due."""
     now = time.monotonic()
-    check_serving_after(start_router(faults=[Fault(Call.OPEN, error, now + 2.0, now + 7.5)]), now + 7.7)
+    check_serving_after(
+        start_router(faults=[SystemCallFault(SystemCall.OPEN, error, now + 2.0, now + 7.5)]), now + 7.7
+    )
 
 
 @pytest.mark.parametrize(
     "call, error",
     [
-        (Call.SOCKET, "ENFILE"),
-        (Call.ACCEPT, "ECONNABORTED"),
-        (Call.ACCEPT, "ENOBUFS"),
-        (Call.ACCEPT, "EPROTO"),
-        (Call.CONNECT, "ENOBUFS"),
-        (Call.CONNECT, "EADDRNOTAVAIL"),
+        (SystemCall.SOCKET, "ENFILE"),
+        (SystemCall.ACCEPT, "ECONNABORTED"),
+        (SystemCall.ACCEPT, "ENOBUFS"),
+        (SystemCall.ACCEPT, "EPROTO"),
+        (SystemCall.CONNECT, "ENOBUFS"),
+        (SystemCall.CONNECT, "EADDRNOTAVAIL"),
     ],
 )
 def test_transient_system_call_failures_do_not_stop_the_router(
-    start_router: Callable[..., RouterHarness], call: Call, error: str
+    start_router: Callable[..., RouterHarness], call: SystemCall, error: str
 ) -> None:
     now = time.monotonic()
-    check_serving_after(start_router(faults=[Fault(call, error, now + 1.5, now + 2.0)]), now + 2.2)
+    check_serving_after(start_router(faults=[SystemCallFault(call, error, now + 1.5, now + 2.0)]), now + 2.2)
 
 
 # -- the log --
@@ -174,7 +178,9 @@
     start_router: Callable[..., RouterHarness], tmp_path: Path
 ) -> None:
     flag = tmp_path / "descriptors-exhausted"
-    router = start_router(faults=[Fault(Call.OPEN, "EMFILE", path="config.json", flag=str(flag))])
+    router = start_router(
+        faults=[SystemCallFault(SystemCall.OPEN, "EMFILE", path="config.json", flag=str(flag))]
+    )
     flag.touch()
     changed = {**router.config, "limits": {**router.config["limits"], "sockets": 99}}
     router.reload(json.dumps(changed))
@@ -191,7 +197,9 @@
     start_router: Callable[..., RouterHarness], tmp_path: Path
 ) -> None:
     flag = tmp_path / "aborted"
-    router = start_router(sockets=16, faults=[Fault(Call.ACCEPT, "ECONNABORTED", flag=str(flag), chance=0.7)])
+    router = start_router(
+        sockets=16, faults=[SystemCallFault(SystemCall.ACCEPT, "ECONNABORTED", flag=str(flag), chance=0.7)]
+    )
     held = [router.connect() for _ in range(8)]  # all places
     for client in held:
         client.send_request(path="/svc/confirm", X_TTL_MS="60000")
@@ -228,13 +236,17 @@
 
 @pytest.mark.parametrize(
     "call, error, path",
-    [(Call.SOCKET, "ENFILE", ""), (Call.OPEN, "EMFILE", "config.json"), (Call.OPEN, "EIO", "config.json")],
+    [
+        (SystemCall.SOCKET, "ENFILE", ""),
+        (SystemCall.OPEN, "EMFILE", "config.json"),
+        (SystemCall.OPEN, "EIO", "config.json"),
+    ],
 )
 def test_failed_system_call_at_startup_is_retried(
-    start_router: Callable[..., RouterHarness], call: Call, error: str, path: str
+    start_router: Callable[..., RouterHarness], call: SystemCall, error: str, path: str
 ) -> None:
     now = time.monotonic()
-    router = start_router(faults=[Fault(call, error, now, now + 1.0, path=path)])
+    router = start_router(faults=[SystemCallFault(call, error, now, now + 1.0, path=path)])
     assert fetch_status(router, router.connect()) == 200
     assert router.log_lines("start-delayed")
 
@@ -245,18 +257,18 @@
 @pytest.mark.parametrize(
     "call, error",
     [
-        (Call.SOCKET, "ENFILE"),
-        (Call.SOCKET, "ENOBUFS"),
-        (Call.CONNECT, "EADDRNOTAVAIL"),
-        (Call.CONNECT, "ENETUNREACH"),
-        (Call.CONNECT, "ENOBUFS"),
+        (SystemCall.SOCKET, "ENFILE"),
+        (SystemCall.SOCKET, "ENOBUFS"),
+        (SystemCall.CONNECT, "EADDRNOTAVAIL"),
+        (SystemCall.CONNECT, "ENETUNREACH"),
+        (SystemCall.CONNECT, "ENOBUFS"),
     ],
 )
 def test_local_resource_shortage_is_waited_out_without_ejecting_a_cache(
-    start_router: Callable[..., RouterHarness], tmp_path: Path, call: Call, error: str
+    start_router: Callable[..., RouterHarness], tmp_path: Path, call: SystemCall, error: str
 ) -> None:
     flag = tmp_path / "lacking"
-    router = start_router(faults=[Fault(call, error, flag=str(flag))])
+    router = start_router(faults=[SystemCallFault(call, error, flag=str(flag))])
     client = router.connect()
     assert client.request(path="/status/live").status == 200
     flag.touch()
@@ -268,12 +280,12 @@
     assert not router.log_lines("routing")
 
 
-@pytest.mark.parametrize("call", [Call.SEND, Call.RECEIVE])
+@pytest.mark.parametrize("call", [SystemCall.SEND, SystemCall.RECEIVE])
 def test_buffer_shortage_does_not_close_connections(
-    start_router: Callable[..., RouterHarness], tmp_path: Path, call: Call
+    start_router: Callable[..., RouterHarness], tmp_path: Path, call: SystemCall
 ) -> None:
     flag = tmp_path / "lacking"
-    router = start_router(faults=[Fault(call, "ENOBUFS", flag=str(flag), chance=0.5)])
+    router = start_router(faults=[SystemCallFault(call, "ENOBUFS", flag=str(flag), chance=0.5)])
     client = router.connect()
     assert fetch_status(router, client) == 200
     flag.touch()
--- a/tests/test_unread_input.py
+++ b/tests/test_unread_input.py
@@ -18,7 +18,7 @@
 from fastcgi_client import ABORT_REQUEST, FastCgiClient, fastcgi_record
 from router_harness import SETTINGS, RouterHarness
 
-from edge_router.fault_injection.plan import Call, Fault
+from edge_router.fault_injection.system_call_faults import SystemCall, SystemCallFault
 
 MAX_LIMIT_EXCESS = 150  # ms by which the forwarded limit may exceed the time the client has left
 UNREAD_TIME = 0.6  # seconds
@@ -127,7 +127,7 @@
 ) -> None:
     """Accepting fails for a while, as without descriptors; meanwhile requests arrive on one connection."""
     flag = tmp_path / "no-buffers"
-    router = start_router(faults=[Fault(Call.ACCEPT, "ENOBUFS", flag=str(flag))])
+    router = start_router(faults=[SystemCallFault(SystemCall.ACCEPT, "ENOBUFS", flag=str(flag))])
     flag.touch()
     time.sleep(0.1)
     client, sent = router.connect(), {}
