--- a/edge_router/server/server.py
+++ b/edge_router/server/server.py
@@ -185,7 +185,7 @@
             log("configuration-rejected", reason=f"the file is another router's, by its {', '.join(foreign)}")
             return
         fixed = [
-            name for name in ("pace", "settings") if getattr(config, name) != getattr(self._config, name)
+            name for name in ("transfer_bandwidth", "settings") if getattr(config, name) != getattr(self._config, name)
         ]
         log(
             "configuration-reloaded",
