--- a/edge_router/__main__.py
+++ b/edge_router/__main__.py
@@ -1,13 +1,13 @@
-"""Starts one edge router: `python -m edge_router`. With arguments, the command line."""
+"""`python -m edge_router`: starts one edge router, or with arguments the command line."""
 
 import sys
 
 if __name__ == "__main__":
     if len(sys.argv) > 1:
-        from edge_router.cli.main import main as commands
+        from edge_router.cli.main import main as command_line
 
-        commands()
+        command_line()
     else:
-        from edge_router.server.server import main
+        from edge_router.server.main import main
 
         sys.exit(main())
--- a/edge_router/cli/main.py
+++ b/edge_router/cli/main.py
@@ -18,7 +18,7 @@
 @cli.command()
 def run() -> None:
     """Start one edge router, configured by the file that RELAY_CONFIG names."""
-    from edge_router.server.server import main as serve
+    from edge_router.server.main import main as serve
 
     sys.exit(serve())
 
--- a/edge_router/config/platform_file.py
+++ b/edge_router/config/platform_file.py
@@ -1,4 +1,4 @@
-"""What the platform tells the edge router at its start."""
+"""The configuration file of the platform, which RELAY_CONFIG names: reading and typing it."""
 
 from __future__ import annotations
 
@@ -15,40 +15,43 @@
 from edge_router.discovery.change_log import ChangeLogError, initial_events
 from edge_router.discovery.events import DiscoveryEvent
 
-LEAST_SOCKETS = 16
+MIN_SOCKETS = 16
+DEFAULT_SOCKETS = 1024
+DEFAULT_MEMORY_MB = 192
+MAX_PORT = 65535
 
 
 class ConfigError(Exception):
-    """A configuration that can't be used; the text is one line."""
+    """A configuration that can't be used; its message is one line."""
 
 
 class ConfigUnreadableError(ConfigError):
-    """A file that can't be read now, or not to its end: it may be in the middle of being written."""
+    """A file that can't be read or parsed now; it may be in the middle of being written."""
 
-    def __init__(self, why: str, number: int | None = None) -> None:
-        """`number`: the errno, where a call failed."""
-        super().__init__(why)
-        self.number = number
+    def __init__(self, reason: str, errno: int | None = None) -> None:
+        """`errno`: the error number of the failed system call; None if the file is no JSON."""
+        super().__init__(reason)
+        self.errno = errno
 
 
 @dataclass(frozen=True, slots=True)
 class RouterConfig:
-    """The configuration, typed."""
+    """The typed configuration of one router."""
 
     name: str
     listen_address: tuple[str, int]
     seed: int
-    max_sockets: int
-    memory_mb: float
-    cpu_cores: float
-    transfer_bandwidth: float  # bytes a second of one transfer; 0 if not told
+    max_sockets: int  # descriptors of clients and upstream connections together
+    memory_mb: float  # limit of the process, in 10**6 bytes
+    cpu_cores: float  # share of the CPU; 1.0 is a whole core
+    transfer_bandwidth: float  # bytes per second of one transfer; 0 if the file does not say
     change_log_address: tuple[str, int]
-    last_sequence: int  # number of the last event in `known`
+    last_sequence: int  # sequence number of the last change log event in `initial_events`
     initial_events: tuple[DiscoveryEvent, ...]
     settings: Settings
 
     def identity(self) -> dict[str, object]:
-        """By what one router's configuration is told from another's; its figures may change."""
+        """The parts that tell routers apart, by their names in the log; a reload never changes them."""
         settings = self.settings
         return {
             "name": self.name,
@@ -56,19 +59,23 @@
             "zone": settings.zone,
             "areas": settings.zone_names,
             "models": settings.role_names,
-            "classes": [(cls.name, cls.idempotency) for cls in settings.classes],
+            "classes": [(entry.name, entry.idempotency) for entry in settings.classes],
         }
 
 
 def _address(text: Any) -> tuple[str, int]:
-    host, sign, port = str(text).rpartition(":")
-    if not sign or not host or not port.isdigit() or int(port) > 65535:
+    """Parses `host:port`; raises ConfigError."""
+    host, separator, port = str(text).rpartition(":")
+    if not separator or not host or not port.isdigit() or int(port) > MAX_PORT:
         raise ConfigError(f"{text!r} is no address like 10.0.0.4:6565")
     return host, int(port)
 
 
 def config_from(table: dict[str, Any], env: Mapping[str, str]) -> RouterConfig:
-    """The typed configuration; the environment names the listening address if the table does not."""
+    """Checks and types a parsed configuration file; raises ConfigError.
+
+    RELAY_NAME and RELAY_LISTEN of the environment stand in for a name or listening address that it lacks.
+    """
     try:
         settings = settings_from_json(table["settings"])
         limits, known = table.get("limits", {}), table.get("known", {})
@@ -76,8 +83,8 @@
             name=str(table.get("name") or env.get("RELAY_NAME", "?")),
             listen_address=_address(table.get("listen") or env.get("RELAY_LISTEN", "")),
             seed=int(str(table.get("seed", "0")), 16),
-            max_sockets=int(limits.get("sockets", 1024)),
-            memory_mb=float(limits.get("memory_mb", 192)),
+            max_sockets=int(limits.get("sockets", DEFAULT_SOCKETS)),
+            memory_mb=float(limits.get("memory_mb", DEFAULT_MEMORY_MB)),
             cpu_cores=float(limits.get("cores", 1.0)),
             transfer_bandwidth=float(table.get("flow_bytes_per_s", 0.0)),
             change_log_address=_address(table["changelog"]),
@@ -89,7 +96,7 @@
         raise ConfigError(f"the configuration lacks {error}") from error
     except (TypeError, ValueError, AttributeError, ArithmeticError, ChangeLogError) as error:
         raise ConfigError(f"the configuration can't be used: {error}") from error
-    if config.max_sockets < LEAST_SOCKETS or not (config.memory_mb > 0 and config.cpu_cores > 0):
+    if config.max_sockets < MIN_SOCKETS or not (config.memory_mb > 0 and config.cpu_cores > 0):
         raise ConfigError(
             f"no room to run in {config.max_sockets} sockets, {config.memory_mb:g} MB "
             f"and {config.cpu_cores:g} cores"
@@ -98,7 +105,10 @@
 
 
 def read_config(env: Mapping[str, str] = os.environ) -> RouterConfig:
-    """Reads the file that RELAY_CONFIG names."""
+    """Reads the file that RELAY_CONFIG names.
+
+    Raises ConfigUnreadableError if a later attempt may succeed, else ConfigError.
+    """
     path = env.get("RELAY_CONFIG")
     if not path:
         raise ConfigError("RELAY_CONFIG names no configuration file")
--- a/edge_router/fault_injection/shim.py
+++ b/edge_router/fault_injection/shim.py
@@ -107,7 +107,7 @@
 def main() -> int:
     """Runs one router under the plan of the environment."""
     install(FaultPlan.from_json(os.environ[PLAN_VARIABLE]))
-    from edge_router.server.server import main as serve
+    from edge_router.server.main import main as serve
 
     run: Callable[[], int] = serve
     return run()
--- /dev/null
+++ b/edge_router/server/client_acceptor.py
@@ -0,0 +1,205 @@
+"""Accepts client connections, keeps the table of them, and evicts idle ones when it is full."""
+
+from __future__ import annotations
+
+import heapq
+import socket
+from collections.abc import Awaitable, Callable
+from functools import partial
+
+import trio
+
+from edge_router.proxy.fastcgi_frontend import FastCgiFrontend
+from edge_router.runtime.clock import Clock
+from edge_router.runtime.event_log import log_rate_limited
+from edge_router.runtime.memory_budget import MemoryBudget
+from edge_router.runtime.system_errors import RESOURCE_EXHAUSTED, is_local_shortage
+from edge_router.runtime.timers import Timers
+from edge_router.server.supervisor import keep_running
+from edge_router.transport.client_connection import ClientConnection
+from edge_router.transport.receive_age import age_at_accept
+
+IDLE_TIMEOUT = 60_000.0  # ms after which a client connection without open requests is closed
+IDLE_CHECK_INTERVAL = 5.0  # seconds
+TIMEOUT_CHECK_INTERVAL = 0.25  # seconds between two checks of requests that clients send slowly
+MAX_TIMEOUT_CHECK_LAG = (
+    0.5  # seconds; a check that runs later reflects a stall of this process, not the clients
+)
+MIN_SILENT_TIME = 100.0  # ms for which a new client may send nothing before it can be evicted
+MIN_IDLE_TIME = 60.0  # ms for which a client keeps its place after a request: the next may be on its way
+EVICTION_BATCH = 0.125  # part of all places that is freed at once, as each search visits every client
+FULL_TABLE_DELAY = 0.01  # seconds between two searches for idle clients while there are none
+EVICTION_DELAY = 0.001  # seconds that evicted clients are given to close
+EXHAUSTED_DELAY = 0.05  # seconds to the next accept(2) without descriptors or memory
+FINAL_RETRY_DELAY = 0.01  # seconds to the next accept(2) after a shortage at shutdown
+MIN_CLIENTS = 8
+EXPECTED_CLOSE_REASONS = (
+    "closed by the client",
+    "closed by us",
+    "stopping",
+    "room for others",
+    "idle for long",
+)
+
+Spawn = Callable[[Callable[[], Awaitable[None]]], None]
+
+
+class ClientAcceptor:
+    """The accept loop and the table of client connections."""
+
+    def __init__(
+        self,
+        frontend: FastCgiFrontend,
+        clock: Clock,
+        timers: Timers,
+        budget: MemoryBudget,
+        connection_count: Callable[[], int],
+        spawn: Spawn,
+    ) -> None:
+        """Prepares the table.
+
+        `connection_count` returns the number of upstream connections, for the log; `spawn` starts the task of
+        one connection, whose errors must not reach other connections.
+        """
+        self.clients: set[ClientConnection] = set()
+        self.max_clients = MIN_CLIENTS
+        self._frontend = frontend
+        self._clock = clock
+        self._timers = timers
+        self._budget = budget
+        self._connection_count = connection_count
+        self._spawn = spawn
+        self._scope = trio.CancelScope()
+
+    async def run(self, listener: socket.socket) -> None:
+        """Accepts connections until `stop` is called."""
+        with self._scope:
+            await keep_running("accept", partial(self._accept_loop, listener))
+
+    def stop(self) -> None:
+        """Ends the accept loop; connections that were accepted stay."""
+        self._scope.cancel()
+
+    async def accept_remaining(self, listener: socket.socket, end: float) -> None:
+        """Accepts all connections that are pending, beyond `max_clients` too.
+
+        A failed accept(2), as after an aborted connection or in a short lack of descriptors, is retried until
+        `end` (seconds of trio's clock): closing the listener would reset the other pending connections.
+        """
+        while True:
+            try:
+                self._accept_one(listener)
+            except BlockingIOError:
+                return
+            except OSError as error:
+                log_rate_limited("accept-failed", reason=error.strerror, clients=len(self.clients))
+                if trio.current_time() >= end:
+                    return
+                await trio.sleep(FINAL_RETRY_DELAY if is_local_shortage(error) else 0)
+
+    def close_all_idle(self, reason: str) -> None:
+        """Half-closes every client without open requests."""
+        for client in list(self.clients):
+            client.close_if_idle(reason)
+
+    async def run_idle_checks(self) -> None:
+        """Closes clients that were idle for `IDLE_TIMEOUT`."""
+        while True:
+            await trio.sleep(IDLE_CHECK_INTERVAL)
+            used_before = self._clock.now() - IDLE_TIMEOUT
+            for client in list(self.clients):
+                if client.is_idle() and client.last_used <= used_before:
+                    client.close_if_idle("idle for long")
+
+    async def run_timeout_checks(self) -> None:
+        """Checks the time limits of what clients are sending."""
+        while True:
+            due = trio.current_time() + TIMEOUT_CHECK_INTERVAL
+            await trio.sleep_until(due)
+            if trio.current_time() < due + MAX_TIMEOUT_CHECK_LAG:
+                for client in list(self.clients):
+                    client.check_timeouts(self._clock.now())
+
+    async def _accept_loop(self, listener: socket.socket) -> None:
+        while True:
+            if len(self.clients) >= self.max_clients:
+                await trio.sleep(EVICTION_DELAY if self._evict_idle() else FULL_TABLE_DELAY)
+                continue
+            try:
+                await trio.lowlevel.wait_readable(listener)
+                self._accept_one(listener)
+            except BlockingIOError:
+                continue
+            except OSError as error:
+                await self._on_accept_failed(error)
+
+    async def _on_accept_failed(self, error: OSError) -> None:
+        """Logs the failure; without descriptors or memory, evicts idle clients and waits."""
+        exhausted = error.errno in RESOURCE_EXHAUSTED
+        log_rate_limited(
+            "descriptors-exhausted" if exhausted else "accept-failed",
+            reason=error.strerror,
+            clients=len(self.clients),
+            upstream_connections=self._connection_count(),
+        )
+        if exhausted:
+            self._evict_idle()
+            await trio.sleep(EXHAUSTED_DELAY)
+
+    def _accept_one(self, listener: socket.socket) -> None:
+        """Accepts one connection and adds it to the table at once, before its task first runs.
+
+        Raises BlockingIOError if none is pending, and OSError if accept(2) fails.
+        """
+        sock, _ = listener.accept()
+        sock.setblocking(False)
+        client = ClientConnection(
+            sock,
+            self._frontend,
+            self._clock.now,
+            self._budget,
+            self._timers.stall_duration,
+            age_at_accept(sock),
+        )
+        self.clients.add(client)
+        self._spawn(partial(self._serve, sock, client))
+
+    async def _serve(self, sock: socket.socket, client: ClientConnection) -> None:
+        """Serves one client connection to its end."""
+        with sock:
+            try:
+                sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+                reason = await client.run()
+                if reason not in EXPECTED_CLOSE_REASONS:
+                    log_rate_limited("client-connection-error", reason=reason)
+            finally:
+                self.clients.discard(client)
+
+    def _evict_idle(self) -> bool:
+        """Closes clients that never sent anything, else those idle for longest; returns whether it could.
+
+        Clients are half-closed first and closed by a later call, so that one that is just sending a request
+        sees an orderly end instead of a reset. While half-closed clients remain, no others are chosen.
+        """
+        now = self._clock.now()
+        closing = [client for client in self.clients if client.is_closing() and client.is_quiet()]
+        if closing:
+            expired = [client for client in closing if client.last_used <= now - MIN_IDLE_TIME]
+            for client in expired:
+                client.close()
+            return bool(expired)
+        candidates = self._silent_clients(now) or self._idle_clients(now)
+        batch_size = round(self.max_clients * EVICTION_BATCH)
+        for client in heapq.nsmallest(batch_size, candidates, key=lambda client: client.last_used):
+            client.close_if_idle("room for others")
+        return bool(candidates)
+
+    def _silent_clients(self, now: float) -> list[ClientConnection]:
+        """Clients that have sent nothing since they connected, `MIN_SILENT_TIME` ago or earlier."""
+        used_before = now - MIN_SILENT_TIME
+        return [client for client in self.clients if client.silent and client.last_used <= used_before]
+
+    def _idle_clients(self, now: float) -> list[ClientConnection]:
+        """Clients without open requests since `MIN_IDLE_TIME` ago or earlier."""
+        used_before = now - MIN_IDLE_TIME
+        return [client for client in self.clients if client.is_idle() and client.last_used <= used_before]
--- /dev/null
+++ b/edge_router/server/graceful_shutdown.py
@@ -0,0 +1,105 @@
+"""Graceful shutdown after SIGTERM: completes or answers all requests well before the platform's SIGKILL."""
+
+from __future__ import annotations
+
+import select
+import socket
+
+import trio
+
+from edge_router.decision.settings import Settings
+from edge_router.proxy.fastcgi_frontend import FastCgiFrontend
+from edge_router.proxy.request_router import RequestRouter
+from edge_router.runtime.clock import Clock
+from edge_router.runtime.event_log import log
+from edge_router.server.client_acceptor import ClientAcceptor
+
+ACCEPT_GRACE_PERIOD = 0.8  # seconds after SIGTERM during which new connections and requests are accepted
+KILL_DELAY = 0.7  # seconds between the longest deadline, counted from SIGTERM, and SIGKILL
+MAX_COUNTED_DEADLINE = 3.0  # seconds; a longer deadline counts as this one
+KILL_MARGIN = 0.5  # seconds before SIGKILL at which all requests are answered
+FINAL_ACCEPT_TIME = 0.1  # seconds beyond that for pending connections whose accept(2) failed
+FINAL_WRITE_TIME = 0.3  # seconds left then to send the last responses
+POLL_INTERVAL = 0.01  # seconds
+
+
+def shutdown_time_limit(settings: Settings) -> float:
+    """Seconds after SIGTERM by which all requests are answered."""
+    longest = max(request_class.deadline for request_class in settings.classes) / 1000.0
+    return min(longest, MAX_COUNTED_DEADLINE) + KILL_DELAY - KILL_MARGIN
+
+
+class GracefulShutdown:
+    """The steps from SIGTERM to the point where the process may end."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        clock: Clock,
+        frontend: FastCgiFrontend,
+        router: RequestRouter,
+        acceptor: ClientAcceptor,
+    ) -> None:
+        self._time_limit = shutdown_time_limit(settings)
+        self._clock = clock
+        self._frontend = frontend
+        self._router = router
+        self._acceptor = acceptor
+        self._end: float | None = None  # second of trio's clock by which all requests are answered
+
+    @property
+    def started(self) -> bool:
+        """Whether the shutdown has begun."""
+        return self._end is not None
+
+    def start(self, signal_name: str) -> None:
+        """Starts the time limit; `run` is to be called next."""
+        log(
+            "shutdown-started",
+            signal=signal_name,
+            open=len(self._router.requests),
+            within_s=self._time_limit,
+        )
+        self._end = trio.current_time() + self._time_limit
+
+    async def run(self, listener: socket.socket) -> None:
+        """Accepts for the grace period, completes open requests, and rejects the rest at the time limit.
+
+        Closes the listener. May be called again if it raised; the time limit stays that of `start`.
+        """
+        assert self._end is not None, "start() comes first"
+        end = self._end
+        self._frontend.ready = False
+        self._router.admission.answer_by = self._clock.now() + (end - trio.current_time()) * 1000.0
+        await trio.sleep_until(end - self._time_limit + min(ACCEPT_GRACE_PERIOD, self._time_limit))
+        await self._close_listener(listener, end)
+        while trio.current_time() < end and not self._is_complete():
+            await trio.sleep(POLL_INTERVAL)
+        self._router.expire_all()
+        with trio.move_on_after(FINAL_WRITE_TIME):
+            while not self._is_complete():
+                await trio.sleep(POLL_INTERVAL)
+        log("shutdown-complete", open=len(self._router.requests))
+
+    async def _close_listener(self, listener: socket.socket, end: float) -> None:
+        """Closes the listener after all pending connections are accepted: closing it resets the others."""
+        while trio.current_time() < end and _has_pending_connection(listener):
+            await trio.sleep(POLL_INTERVAL)
+        self._acceptor.stop()
+        await (
+            trio.lowlevel.checkpoint()
+        )  # lets the accept loop end, which may be about to wait for the listener
+        await self._acceptor.accept_remaining(listener, end + FINAL_ACCEPT_TIME)
+        listener.close()
+
+    def _is_complete(self) -> bool:
+        """Half-closes idle clients; returns whether no client and no unanswered request is left."""
+        self._acceptor.close_all_idle("stopping")
+        return not self._acceptor.clients and all(request.answered for request in self._router.requests)
+
+
+def _has_pending_connection(listener: socket.socket) -> bool:
+    """Whether a connection waits to be accepted."""
+    poll = select.poll()
+    poll.register(listener, select.POLLIN)
+    return bool(poll.poll(0))
--- a/edge_router/server/memory_gauge.py
+++ b/edge_router/server/memory_gauge.py
@@ -1,4 +1,4 @@
-"""How much memory the process holds, read without opening a file each time."""
+"""Resident memory of the process, read without opening a file each time."""
 
 from __future__ import annotations
 
@@ -7,26 +7,29 @@
 import os
 import resource
 
-PATH = "/proc/self/statm"
+STATM_PATH = "/proc/self/statm"
+RESIDENT_PAGES = 1  # index of the field in proc(5)
+MAX_STATM_BYTES = 256
+NO_DESCRIPTOR = -1
 
 
 class MemoryGauge:
-    """Keeps the kernel's figures open: at the limit of descriptors they could not be opened."""
+    """Reads statm through a descriptor that stays open, so that it works at the limit of descriptors too."""
 
     def __init__(self) -> None:
-        self._descriptor = -1
+        self._descriptor = NO_DESCRIPTOR
         self._open()
 
     def _open(self) -> None:
         with contextlib.suppress(OSError):
-            self._descriptor = os.open(PATH, os.O_RDONLY)
+            self._descriptor = os.open(STATM_PATH, os.O_RDONLY)
 
     def resident_mb(self) -> float:
-        """Megabytes that are resident now; not a number if the system doesn't tell."""
-        if self._descriptor < 0:
+        """Resident memory in megabytes (10**6 bytes); NaN if the system does not provide it."""
+        if self._descriptor == NO_DESCRIPTOR:
             self._open()
         try:
-            fields = os.pread(self._descriptor, 256, 0).split()
-            return int(fields[1]) * resource.getpagesize() / 1e6
+            fields = os.pread(self._descriptor, MAX_STATM_BYTES, 0).split()
+            return int(fields[RESIDENT_PAGES]) * resource.getpagesize() / 1e6
         except (OSError, ValueError, IndexError):
             return math.nan
--- a/edge_router/server/startup.py
+++ b/edge_router/server/startup.py
@@ -1,4 +1,4 @@
-"""The first steps of the process, each tried again for a while where the system lacks something."""
+"""The first steps of the process, retried for a while after transient errors."""
 
 from __future__ import annotations
 
@@ -12,45 +12,49 @@
 from edge_router.runtime.event_log import log
 from edge_router.runtime.system_errors import is_local_shortage
 
-PATIENCE = 5.0  # seconds for which a step is tried again; the platform waits 30 s for a router to be ready
-PAUSE = 0.05
-BACKLOG = 1024
-_LASTING = (errno.ENOENT, errno.EACCES, errno.EISDIR, errno.ENOTDIR)
+RETRY_PERIOD = 5.0  # seconds for which a step is retried; the platform waits 30 s for a router to be ready
+RETRY_DELAY = 0.05  # seconds between two attempts
+LISTEN_BACKLOG = 1024  # connections
+PERMANENT_FILE_ERRORS = frozenset((errno.ENOENT, errno.EACCES, errno.EISDIR, errno.ENOTDIR))
 
 Result = TypeVar("Result")
 
 
-def _may_pass(error: Exception) -> bool:
-    """Whether what failed may succeed in a moment."""
-    if isinstance(error, ConfigUnreadableError):
-        return error.number is not None and error.number not in _LASTING
-    return isinstance(error, OSError) and (is_local_shortage(error) or error.errno == errno.EADDRINUSE)
+def retry_transient_errors(step: Callable[[], Result]) -> Result:
+    """Runs the step until it succeeds and returns its result.
 
-
-def patiently(step: Callable[[], Result]) -> Result:
-    """The step's result; raises its error once it lasts, or is of a kind that does not pass."""
-    began, why = time.monotonic(), ""
+    Raises the step's error if it is not transient, or after `RETRY_PERIOD`.
+    """
+    started_at = time.monotonic()
+    last_error: Exception | None = None
     while True:
         try:
             result = step()
         except (OSError, ConfigUnreadableError) as error:
-            if not _may_pass(error) or time.monotonic() >= began + PATIENCE:
+            if not _is_transient(error) or time.monotonic() >= started_at + RETRY_PERIOD:
                 raise
-            why = str(error)
-            time.sleep(PAUSE)
+            last_error = error
+            time.sleep(RETRY_DELAY)
         else:
-            if why:  # told afterwards: what lasts is one clear line of the caller's
-                log("start-delayed", reason=why, by_ms=(time.monotonic() - began) * 1000.0)
+            if last_error is not None:  # logged only now: an error that stays is one line of the caller's
+                log("start-delayed", reason=str(last_error), by_ms=(time.monotonic() - started_at) * 1000.0)
             return result
 
 
+def _is_transient(error: Exception) -> bool:
+    """Whether the step may succeed in a moment."""
+    if isinstance(error, ConfigUnreadableError):
+        return error.errno is not None and error.errno not in PERMANENT_FILE_ERRORS
+    return isinstance(error, OSError) and (is_local_shortage(error) or error.errno == errno.EADDRINUSE)
+
+
 def load_config() -> RouterConfig:
-    """The configuration; raises ConfigError."""
-    return patiently(read_config)
+    """Reads the configuration; raises ConfigError."""
+    return retry_transient_errors(read_config)
 
 
 def open_listener(address: tuple[str, int]) -> socket.socket:
-    """A listening socket; raises OSError."""
+    """Opens a non-blocking listening socket; raises OSError."""
 
     def step() -> socket.socket:
         listener = socket.socket()
@@ -58,10 +62,10 @@
             listener.setblocking(False)
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             listener.bind(address)
-            listener.listen(BACKLOG)
+            listener.listen(LISTEN_BACKLOG)
         except OSError:
             listener.close()
             raise
         return listener
 
-    return patiently(step)
+    return retry_transient_errors(step)
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -102,7 +102,7 @@
         ("edge_router.transport.client_session", ("trio",)),
         ("edge_router.model_checker.model.router_model", ("trio",)),
         (
-            "edge_router.server.server",
+            "edge_router.server.main",
             ("click", "rich", "numpy", "xxhash", "edge_router.model_checker", "edge_router.cli"),
         ),
     ],
