--- a/edge_router/model_checker/fingerprint/transport.py
+++ b/edge_router/model_checker/fingerprint/transport.py
@@ -20,11 +20,12 @@
         "_heap",
         {
             "_clock": WIRING,
-            "_steady": WIRING,
+            "_monotonic": WIRING,
             "_wake": WIRING,
-            "_count": "the order of equal times is that of the heap",
-            "_ran": "read for what waits unread; bytes are read as soon as they arrive here",
-            "_stall": "read for what waits unread; bytes are read as soon as they arrive here",
+            "_sequence": "the order of equal times is that of the heap",
+            "_last_run": "read for what waits unread; bytes are read as soon as they arrive here",
+            "_stall_start": "read for what waits unread; bytes are read as soon as they arrive here",
+            "_stall_end": "read for what waits unread; bytes are read as soon as they arrive here",
         },
     ),
     UpstreamChannel: Fields(
--- a/edge_router/model_checker/model/harness.py
+++ b/edge_router/model_checker/model/harness.py
@@ -15,7 +15,8 @@
 from edge_router.proxy.fastcgi_frontend import FastCgiFrontend
 from edge_router.proxy.request_router import RequestRouter
 from edge_router.runtime import event_log as ground_log
-from edge_router.runtime.clock import Clock, CpuCredit
+from edge_router.runtime.clock import Clock
+from edge_router.runtime.cpu_credit import CpuCredit
 from edge_router.runtime.memory_budget import MemoryBudget
 from edge_router.runtime.timers import Timers
 
@@ -45,10 +46,10 @@
     def __init__(self) -> None:
         self.saved = 0.0
 
-    def share(self, cores: float) -> None:
+    def set_share(self, cores: float) -> None:
         """Has no effect: the credit does not depend on cores here."""
 
-    def left(self) -> float:
+    def remaining(self) -> float:
         """The credit that was set."""
         return self.saved
 
--- a/edge_router/model_checker/reach.py
+++ b/edge_router/model_checker/reach.py
@@ -69,7 +69,11 @@
     ("decision/policy.py", "_leave|_may_repeat|_copy_wanted", "cold budgets, no second copies, stale times"),
     ("decision/policy.py", "_on_end", "late events, which the stages never send"),
     ("proxy/exchange.py", "__init__", "bad requests: tests/test_router.py"),
-    ("runtime/timers.py", "next_due|_make", "an alarm that raises; the seeded faults and tests play it"),
+    (
+        "runtime/timers.py",
+        "next_due|_run_callback",
+        "an alarm that raises; the seeded faults and tests play it",
+    ),
     ("proxy/accounting.py", "ended", "the second line against a second end: every caller looks first"),
     (
         "proxy/response_handler.py",
--- a/edge_router/proxy/admission.py
+++ b/edge_router/proxy/admission.py
@@ -7,7 +7,7 @@
 from edge_router.decision.settings import Settings
 from edge_router.proxy.exchange import IncomingRequest
 from edge_router.proxy.request_table import ActiveRequest, RequestTable
-from edge_router.runtime.clock import CpuCredit
+from edge_router.runtime.cpu_credit import CpuCredit
 from edge_router.runtime.memory_budget import MemoryBudget
 
 MARGIN = 15.0  # ms before the client's own limit at which the answer is due: it has to get there
--- a/edge_router/runtime/__init__.py
+++ b/edge_router/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""Clock, timers, log, memory budget: what every other package stands on. Nothing here waits."""
+"""Clocks, timers, log, memory budget and CPU credit: used by all other packages. Nothing here blocks."""
--- a/edge_router/runtime/event_log.py
+++ b/edge_router/runtime/event_log.py
@@ -1,4 +1,4 @@
-"""One greppable line per event, on standard error. Writing never waits, whoever reads the log or does not."""
+"""The structured log: one line per event on standard error. Writing never blocks, even if nobody reads it."""
 
 from __future__ import annotations
 
@@ -10,39 +10,39 @@
 
 Sink = Callable[[str, dict[str, object]], None]
 
-MOST_A_SECOND = 5  # lines of one event that peers can bring about as often as they like
-MOST_LINE = select.PIPE_BUF  # bytes; a pipe that is writable at all takes so many without waiting
+MAX_LINES_PER_SECOND = 5  # of one event that peers can cause as often as they like
+MAX_LINE_BYTES = select.PIPE_BUF  # a pipe that polls as writable takes so many bytes without blocking
 STANDARD_ERROR = 2
-NONE = -1  # no descriptor: every write fails
+NO_DESCRIPTOR = -1  # every write to it fails
 
 _sink: Sink | None = None
-_told: dict[str, tuple[int, int]] = {}  # by event: the second, and lines asked for in it
+_line_counts: dict[str, tuple[int, int]] = {}  # by event: the second, and the lines requested in it
 
 
 class LineWriter:
-    """Writes lines to a descriptor; those for which there is no room are counted instead."""
+    """Writes lines to a descriptor, and counts those that it drops because a write would block or fails."""
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
         self._poll: select.poll | None = None
         self.dropped = 0  # lines since the last one that was written
         try:
-            waits = not stat.S_ISREG(os.fstat(descriptor).st_mode)
-        except OSError:  # nobody gave us one, and its number may be that of a socket by and by
-            waits, self._descriptor = False, NONE
-        if waits:
+            can_block = not stat.S_ISREG(os.fstat(descriptor).st_mode)
+        except OSError:  # it is closed, and its number may be reused for a socket later
+            can_block, self._descriptor = False, NO_DESCRIPTOR
+        if can_block:
             self._poll = select.poll()
             self._poll.register(descriptor, select.POLLOUT)
 
     def write(self, line: str) -> None:
-        """Writes a line, or drops it where a write would wait or fails. Raises nothing."""
+        """Writes a line, cut to `MAX_LINE_BYTES`, or drops it. Raises nothing."""
         if self.dropped:
             line = f"{time.time():.3f} log-dropped lines={self.dropped}\n{line}"
         data = line.encode(errors="backslashreplace")
-        if len(data) >= MOST_LINE:
-            data = data[: MOST_LINE - 1]
+        if len(data) >= MAX_LINE_BYTES:
+            data = data[: MAX_LINE_BYTES - 1]
         try:
-            if self._poll is not None and not self._writable():
+            if self._poll is not None and not _is_writable(self._poll):
                 self.dropped += 1
                 return
             os.write(self._descriptor, data + b"\n")
@@ -50,35 +50,39 @@
         except (OSError, ValueError):
             self.dropped += 1
 
-    def _writable(self) -> bool:
-        assert self._poll is not None
-        return any(events & select.POLLOUT for _, events in self._poll.poll(0))
+
+def _is_writable(poll: select.poll) -> bool:
+    """Whether a registered descriptor can be written to without blocking."""
+    return any(events & select.POLLOUT for _, events in poll.poll(0))
 
 
 _writer = LineWriter(STANDARD_ERROR)
 
 
 def set_sink(sink: Sink | None) -> None:
-    """Hands each line, as event and fields, to somebody else; None: to standard error again."""
+    """Passes each event and its fields to `sink` in place of standard error; None restores standard error."""
     global _sink
     _sink = sink
 
 
 def log_rate_limited(event: str, **fields: object) -> None:
-    """A line of an event that a bad peer could fill the log with: a few a second, `more` tells how many."""
+    """Logs an event that a faulty peer could flood the log with.
+
+    At most `MAX_LINES_PER_SECOND` are written; the field `more` of a later line counts those left out.
+    """
     second = int(time.monotonic())
-    last, count = _told.get(event, (second, 0))
-    if last != second:
-        if count > MOST_A_SECOND:
-            fields["more"] = count - MOST_A_SECOND
+    last_second, count = _line_counts.get(event, (second, 0))
+    if last_second != second:
+        if count > MAX_LINES_PER_SECOND:
+            fields["more"] = count - MAX_LINES_PER_SECOND
         count = 0
-    _told[event] = second, count + 1
-    if count < MOST_A_SECOND:
+    _line_counts[event] = second, count + 1
+    if count < MAX_LINES_PER_SECOND:
         log(event, **fields)
 
 
 def log(event: str, **fields: object) -> None:
-    """Writes `time event name=value ...`, values with spaces quoted. A log that is gone stops nothing."""
+    """Writes `time event name=value ...`, with values that contain spaces quoted. Raises nothing."""
     if _sink is not None:
         _sink(event, fields)
         return
--- a/edge_router/runtime/system_errors.py
+++ b/edge_router/runtime/system_errors.py
@@ -1,17 +1,17 @@
-"""Which errors of system calls tell of our own machine for a moment, and not of a peer."""
+"""Classifies errors of system calls that are caused by the local machine, not by a peer."""
 
 from __future__ import annotations
 
 import errno
 
-RESOURCE_EXHAUSTED = frozenset(
+RESOURCE_EXHAUSTED = frozenset(  # accept(2), socket(2)
     (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-)  # accept(2), socket(2)
-LOCAL_NETWORK_FAILURE = frozenset(
+)
+LOCAL_NETWORK_FAILURE = frozenset(  # connect(2)
     (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENETDOWN, errno.EAGAIN)
-)  # connect(2)
+)
 
 
 def is_local_shortage(error: OSError) -> bool:
-    """Whether the call failed for a lack on our side, so that it may succeed by and by."""
+    """Whether the call failed for a local shortage, so that a later attempt may succeed."""
     return error.errno in RESOURCE_EXHAUSTED or error.errno in LOCAL_NETWORK_FAILURE
--- a/edge_router/runtime/timers.py
+++ b/edge_router/runtime/timers.py
@@ -1,4 +1,4 @@
-"""The alarms that run on the clock. Who waits for the next one is somebody else's concern."""
+"""Timers on the monotonic clock. The event loop that waits for the next one belongs to the caller."""
 
 from __future__ import annotations
 
@@ -10,88 +10,89 @@
 from edge_router.runtime.event_log import log
 
 LATE_TIMER_TOLERANCE = (
-    0.02  # seconds by which an alarm is late if the process stood still; the loop's own grid is finer
+    0.02  # seconds; a timer that fires later shows a stall: the loop's granularity is finer
 )
-STALL_MEMORY = 0.2  # seconds after the process stood still for which what is read may have come meanwhile
+STALL_MEMORY = 0.2  # seconds after a stall during which bytes that are read may have arrived in it
 
 
 def no_wakeup() -> None:
-    """Nobody waits, so nobody is woken."""
+    """Does nothing: there is no event loop to wake."""
 
 
 class TimerHandle:
-    """A call to be made at its time, unless called off."""
+    """A callback to be run at its time, unless cancelled."""
 
     __slots__ = ("callback",)
 
-    def __init__(self, call: Callable[[], None]) -> None:
-        self.callback: Callable[[], None] | None = call
+    def __init__(self, callback: Callable[[], None]) -> None:
+        self.callback: Callable[[], None] | None = callback
 
     def cancel(self) -> None:
-        """Calls it off."""
+        """Cancels the callback; has no effect after it ran."""
         self.callback = None
 
 
 class Timers:
-    """All alarms, in the order of their times; they run with real time, whatever the wall clock does."""
+    """All timers in the order of their times; steps of the wall clock have no effect on them."""
 
     def __init__(
-        self, clock: Clock, steady: Callable[[], float], wake: Callable[[], None] = no_wakeup
+        self, clock: Clock, monotonic: Callable[[], float], wake: Callable[[], None] = no_wakeup
     ) -> None:
-        """`steady` tells seconds that nobody sets; `wake` is called when an earlier alarm than all is set."""
+        """`monotonic` returns seconds; `wake` is called when a timer becomes the earliest of all."""
         self._clock = clock
-        self._steady = steady
+        self._monotonic = monotonic
         self._wake = wake
         self._heap: list[tuple[float, int, TimerHandle]] = []
-        self._count = 0
-        self._ran = steady()  # when alarms were looked at last
-        self._stall = (0.0, -math.inf)  # since when the process may have stood still, and when that was seen
-
-    def call_at(self, moment: float, call: Callable[[], None]) -> TimerHandle:
-        """Has the call made at that Unix millisecond, never before this turn is over."""
-        alarm = TimerHandle(call)
-        due = self._steady() + (moment - self._clock.now()) / 1000.0
-        self._count += 1
-        entry = (due, self._count, alarm)
+        self._sequence = 0  # orders timers of the same time
+        self._last_run = monotonic()
+        self._stall_start = 0.0  # the last time known to be before the last stall
+        self._stall_end = -math.inf  # when that stall was noticed
+
+    def call_at(self, moment: float, callback: Callable[[], None]) -> TimerHandle:
+        """Schedules the callback for a moment of the clock (ms); it never runs before this call returns."""
+        handle = TimerHandle(callback)
+        due = self._monotonic() + (moment - self._clock.now()) / 1000.0
+        self._sequence += 1
+        entry = (due, self._sequence, handle)
         heapq.heappush(self._heap, entry)
         if self._heap[0] is entry:
             self._wake()
-        return alarm
+        return handle
 
     def next_due(self) -> float:
-        """When the next alarm falls due, in seconds of the steady clock; infinite without one."""
+        """When the next timer falls due, in seconds of the monotonic clock; infinite without one."""
         while self._heap and self._heap[0][2].callback is None:
             heapq.heappop(self._heap)
         return self._heap[0][0] if self._heap else math.inf
 
     def run_due(self) -> None:
-        """Makes the calls that have fallen due by now."""
-        now = self._steady()
+        """Runs the callbacks that have fallen due by now."""
+        now = self._monotonic()
         if now - self.next_due() > LATE_TIMER_TOLERANCE:
-            self._stall = self._ran, now
-        self._ran = now
+            self._stall_start, self._stall_end = self._last_run, now
+        self._last_run = now
         while self._heap and (self._heap[0][0] <= now or self._heap[0][2].callback is None):
-            call = heapq.heappop(self._heap)[2].callback
-            if call is not None:
-                self._make(call)
+            callback = heapq.heappop(self._heap)[2].callback
+            if callback is not None:
+                self._run_callback(callback)
 
     def stall_duration(self) -> float:
-        """Milliseconds for which what is read now may have waited, since the process stood still or lagged.
+        """Milliseconds for which bytes that are read now may have waited because the process stalled.
 
-        0 if it did neither: then alarms are made in time.
+        0 if timers fire in time and the last stall is over for `STALL_MEMORY`.
         """
-        now = self._steady()
-        since, seen = self._stall
+        now = self._monotonic()
+        start = self._stall_start
         if now - self.next_due() > LATE_TIMER_TOLERANCE:
-            since = self._ran
-        elif now - seen > STALL_MEMORY:
+            start = self._last_run
+        elif now - self._stall_end > STALL_MEMORY:
             return 0.0
-        return (now - since) * 1000.0
+        return (now - start) * 1000.0
 
     @staticmethod
-    def _make(call: Callable[[], None]) -> None:
-        """Guards against one call that goes wrong ending all the others."""
+    def _run_callback(callback: Callable[[], None]) -> None:
+        """Runs one callback; an error in it is logged, so that the other timers still fire."""
         try:
-            call()
+            callback()
         except Exception as error:
             log("internal-error", location="timer", error=repr(error))
--- a/tests/test_peer_clock.py
+++ b/tests/test_peer_clock.py
@@ -17,19 +17,19 @@
     """A local clock whose monotonic and wall time the test sets, in seconds."""
 
     def __init__(self) -> None:
-        self.steady, self.wall_ahead = START, 0.0
-        self.clock = Clock(lambda: self.steady, lambda: self.steady + self.wall_ahead)
+        self.monotonic, self.wall_ahead = START, 0.0
+        self.clock = Clock(lambda: self.monotonic, lambda: self.monotonic + self.wall_ahead)
         self.peers = PeerClock(self.clock)
 
-    def copy(self, age: float, peers_ahead: float = 0.0, took: float = 0.02) -> None:
+    def copy(self, age: float, peers_ahead: float = 0.0, round_trip: float = 0.02) -> None:
         """Receives a copy that left the origin `age` seconds before its response, by the peers' clock."""
         sent = self.clock.now()
-        self.steady += took
+        self.monotonic += round_trip
         received = self.clock.now()
         self.peers.observe_copy(received + (peers_ahead - age) * 1000.0, sent, received)
-        self.steady += 0.3
+        self.monotonic += 0.3
 
-    def off_by(self) -> float:
+    def offset(self) -> float:
         """Estimated seconds by which the clock of the peers is ahead of the local one."""
         return (self.clock.now() - self.peers.to_local(self.clock.now())) / 1000.0
 
@@ -41,7 +41,7 @@
 
 @pytest.fixture(autouse=True)
 def quiet() -> Iterator[None]:
-    set_sink(lambda event, fields: None)
+    set_sink(lambda _event, _fields: None)
     yield
     set_sink(None)
 
@@ -50,28 +50,28 @@
     """A parent may have fetched them from the origin for another request earlier."""
     for _ in range(5):
         machine.copy(1.4)
-    assert machine.off_by() == 0.0
+    assert machine.offset() == 0.0
     for age in (0.01, 1.4, 1.4, 1.4, 1.4, 0.01, 3.0, 1.4, 1.4, 1.4, 1.4, 1.4):
         machine.copy(age)
-        assert machine.off_by() == 0.0
+        assert machine.offset() == 0.0
 
 
 @pytest.mark.parametrize("ahead", [-3600.0, -1.5, 30.0, 3600.0])
 def test_clock_offset_is_learned_from_the_freshest_copies(machine: Machine, ahead: float) -> None:
     for place in range(40):
         machine.copy((0.01, 1.4, 0.6)[place % 3], ahead)
-    assert machine.off_by() == pytest.approx(ahead, abs=0.05)
+    assert machine.offset() == pytest.approx(ahead, abs=0.05)
 
 
 def test_corrected_wall_clock_is_accepted_with_the_first_copy(machine: Machine) -> None:
     machine.wall_ahead = -3600.0
-    assert machine.off_by() == 0.0
+    assert machine.offset() == 0.0
     machine.copy(0.01, -3600.0)
-    assert machine.off_by() == pytest.approx(-3600.0, abs=0.05)
+    assert machine.offset() == pytest.approx(-3600.0, abs=0.05)
 
 
 def test_events_from_the_future_show_an_offset_unless_implausible(machine: Machine) -> None:
     machine.peers.observe_event(machine.clock.now() + 5000.0)
-    assert machine.off_by() == pytest.approx(5.0)
+    assert machine.offset() == pytest.approx(5.0)
     machine.peers.observe_event(2.0**63)
-    assert machine.off_by() == pytest.approx(5.0)
+    assert machine.offset() == pytest.approx(5.0)
