--- a/edge_router/fault_injection/faulty_router.py
+++ b/edge_router/fault_injection/faulty_router.py
@@ -122,7 +122,7 @@
 def main() -> int:
     """Runs one router with the faults that the environment holds; returns its exit status."""
     install(FaultSchedule.from_json(os.environ[FAULTS_VARIABLE]))
-    from edge_router.server.server import main as serve
+    from edge_router.server.main import main as serve
 
     run: Callable[[], int] = serve
     return run()
