--- a/edge_router/decision/messages.py
+++ b/edge_router/decision/messages.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from enum import IntEnum
+from enum import IntEnum, StrEnum
 from typing import NamedTuple
 
 EndpointId = int
@@ -183,8 +183,19 @@
     attempt_index: int
 
 
+class RejectionReason(StrEnum):
+    """Why a request was rejected; for the log and the statistics."""
+
+    CLASS = "class"  # its class is unknown
+    NO_CACHE = "no_cache"  # no cache could take it
+    TIME = "time"  # its deadline has passed
+    RETRY_BUDGET = "retry_budget"
+    LINK = "link"  # the zone's link is overloaded
+    ORIGIN = "origin"  # the origin is overloaded
+
+
 class Reject(NamedTuple):
-    """Final answer: refused, a retry is harmless."""
+    """Final answer: rejected, a retry is harmless."""
 
     request_number: int
     retry_after: float
--- /dev/null
+++ b/edge_router/decision/pending_request.py
@@ -0,0 +1,65 @@
+"""The records of a request without a final answer and of its attempts.
+
+Source: ours. Times are milliseconds of the router's clock; work is the time of sending at full speed.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from edge_router.decision import rules
+from edge_router.decision.link_load import LinkLoad
+from edge_router.decision.messages import EndpointId, RejectionReason, RequestReceived
+from edge_router.decision.settings import ClassSettings
+from edge_router.decision.slow_start import Charge
+
+
+@dataclass(slots=True)
+class AttemptRecord:
+    """One attempt of a request."""
+
+    endpoint_id: EndpointId
+    source_id: EndpointId
+    sent_at: float
+    overdue_at: float
+    fill_expected: bool  # the cache probably lacks the object
+    parent_charge: Charge  # in the slow-start budget of the source
+    cache_load: LinkLoad  # kept here, as the endpoint may have left the list when the attempt ends
+    source_load: LinkLoad
+    concurrent_fills: int = 0  # this router's fills on the zone link when it was sent, itself included
+    concurrent_attempts: int = 0  # this router's attempts at the cache when it was sent, itself included
+    pending: bool = True
+    may_have_run: bool = True
+    overdue: bool = False
+
+
+class PendingRequest:
+    """A request that has no final answer yet."""
+
+    def __init__(self, now: float, request: RequestReceived, settings: ClassSettings, work: float) -> None:
+        self.request = request
+        self.settings = settings
+        self.work = work
+        self.deadline = now + request.time_remaining
+        self.latency_objective = min(
+            settings.latency_objective + settings.latency_objective_per_work * work, settings.deadline
+        )
+        self.attempts: list[AttemptRecord] = []
+        self.missed = False  # a cache that was not to fill lacked the object
+        self.spares_origin = False  # it may not be fetched from the origin
+        self.rejection_reason = RejectionReason.NO_CACHE  # why no attempt could be sent
+        self.tried_endpoints: set[EndpointId] = set()
+        self.failed_sources: set[EndpointId] = set()
+
+    def first_run(self) -> AttemptRecord | None:
+        """The first attempt that may have run."""
+        return next((attempt for attempt in self.attempts if attempt.may_have_run), None)
+
+    def start_before(self) -> float:
+        """The time by which an attempt has to start; later the endpoint would not recognise a repeat."""
+        first = self.first_run()
+        return rules.repeat_until(self.settings, first.sent_at if first else None)
+
+    def pending_attempts(self) -> int:
+        """How many attempts have not ended."""
+        return sum(attempt.pending for attempt in self.attempts)
--- /dev/null
+++ b/edge_router/decision/popularity.py
@@ -0,0 +1,128 @@
+"""Request counts that age exponentially, and the cache ranks derived from them.
+
+Source: ours, after admission by popularity in content delivery networks. The most popular objects that
+together receive HIT_SHARE_THRESHOLD of the requests form the top set; only they are admitted to the caches,
+and the density (requests per KB) decides which of them a full cache evicts first.
+"""
+
+from __future__ import annotations
+
+import math
+from dataclasses import dataclass
+
+HIT_SHARE_THRESHOLD = 0.9  # the top set is the most popular objects whose summed share first reaches it
+COUNT_HALF_LIFE = 4.0  # counts halve in this many slow-start times of a cache
+MAX_COUNTED_OBJECTS = 20_000  # beyond it the less popular half is dropped
+MIN_RANKED_REQUESTS = 50  # requests before the ranking is used
+RANKING_INTERVAL = 50  # least requests between two rankings; more once there are many objects
+MAX_WEIGHT_DOUBLINGS = 30  # counts are rescaled before weights grow beyond this power of two
+SIZE_AVERAGE_SAMPLES = 16  # the mean size of an object's segments follows about so many requests
+
+
+@dataclass(slots=True)
+class ObjectCount:
+    """The requests for one object."""
+
+    size_kb: float  # mean of its segments
+    count: float = 0.0  # in the growing unit of `Popularity._request_weight`
+    segments: int = 1
+
+
+class Popularity:
+    """Bounded, aged request counts; they give the top set (admission) and the densities (cache ranks)."""
+
+    def __init__(self, half_life: float) -> None:
+        """`half_life` in milliseconds."""
+        self._half_life = max(half_life, 1.0)
+        self._counts: dict[int, ObjectCount] = {}
+        self._total_count = 0.0
+        self._total_kb = 0.0
+        self._weight_origin = 0.0
+        self._request_count = 0
+        self._next_ranking_at = RANKING_INTERVAL
+        self._top_set_min_count = 0.0
+        self._rank_cutoffs = (math.inf, math.inf)
+
+    def _request_weight(self, now: float) -> float:
+        """What a request counts now; new requests weigh more instead of all counts being reduced."""
+        doublings = (now - self._weight_origin) / self._half_life
+        if doublings > MAX_WEIGHT_DOUBLINGS or not self._request_count:
+            self._rescale(2.0**-doublings if self._request_count else 1.0)
+            self._weight_origin, doublings = now, 0.0
+        return float(2.0**doublings)
+
+    def _rescale(self, factor: float) -> None:
+        for item in self._counts.values():
+            item.count *= factor
+        self._total_count *= factor
+        self._total_kb *= factor
+        self._top_set_min_count *= factor
+
+    def record_request(self, now: float, object_key: int, size_kb: float, segment: int) -> None:
+        """Counts a request for one segment of an object."""
+        weight = self._request_weight(now)
+        item = self._counts.get(object_key)
+        if item is None:
+            if len(self._counts) >= MAX_COUNTED_OBJECTS:
+                self._drop_less_popular_half()
+            item = self._counts[object_key] = ObjectCount(size_kb)
+        item.count += weight
+        if size_kb:
+            item.size_kb += (size_kb - item.size_kb) / min(SIZE_AVERAGE_SAMPLES, item.segments + 1)
+        item.segments = max(item.segments, segment + 1)
+        self._total_count += weight
+        self._total_kb += weight * size_kb
+        self._request_count += 1
+        if self._request_count >= self._next_ranking_at:
+            self._next_ranking_at = self._request_count + max(RANKING_INTERVAL, len(self._counts) // 8)
+            self._rank_objects()
+
+    def _drop_less_popular_half(self) -> None:
+        """Drops objects but not their part of the total: without it the other shares would be overstated."""
+        by_count = sorted(self._counts, key=lambda key: (-self._counts[key].count, key))
+        self._counts = {key: self._counts[key] for key in by_count[: MAX_COUNTED_OBJECTS // 2]}
+
+    @staticmethod
+    def _density(item: ObjectCount) -> float:
+        return item.count / (item.segments * max(item.size_kb, 1.0))
+
+    def _rank_objects(self) -> None:
+        """Finds the least count within the top set and the densities between the ranks."""
+        items = sorted(self._counts.items(), key=lambda pair: (-pair[1].count, pair[0]))
+        summed_count = 0.0
+        densities = []
+        for _, item in items:
+            densities.append(self._density(item))
+            summed_count += item.count
+            self._top_set_min_count = item.count
+            if summed_count >= HIT_SHARE_THRESHOLD * self._total_count:
+                break
+        densities.sort(reverse=True)
+        self._rank_cutoffs = (densities[len(densities) // 3], densities[2 * len(densities) // 3])
+
+    def is_warming_up(self) -> bool:
+        """Whether too few requests were counted for a ranking."""
+        return self._request_count < MIN_RANKED_REQUESTS
+
+    def in_top_set(self, object_key: int) -> bool:
+        """Whether the object is popular enough to be cached."""
+        item = self._counts.get(object_key)
+        return item is not None and item.count >= self._top_set_min_count
+
+    def cache_rank(self, object_key: int) -> int:
+        """The rank at which a copy is cached, 1 to 3; 0 passes it through uncached."""
+        if self.is_warming_up():
+            return 1
+        if not self.in_top_set(object_key):
+            return 0
+        density = self._density(self._counts[object_key])
+        if density > self._rank_cutoffs[0]:
+            return 3
+        return 2 if density > self._rank_cutoffs[1] else 1
+
+    def byte_share(self, object_key: int) -> float:
+        """The part of all requested bytes that goes to one segment of the object."""
+        item = self._counts.get(object_key)
+        if item is None or self._total_kb <= 0:
+            return 0.0
+        return item.count * item.size_kb / item.segments / self._total_kb
--- a/edge_router/decision/rules.py
+++ b/edge_router/decision/rules.py
@@ -94,7 +94,7 @@
     )
 
 
-def may_refuse(cls: ClassSettings, may_have_run: bool) -> bool:
+def may_reject(cls: ClassSettings, may_have_run: bool) -> bool:
     """Whether a refusal, which promises that a retry does no harm, is true of such a request."""
     if cls.idempotency is Idempotency.IDEMPOTENT or not may_have_run:
         return True
--- a/edge_router/model_checker/fingerprint/decision.py
+++ b/edge_router/model_checker/fingerprint/decision.py
@@ -6,6 +6,12 @@
 from typing import Any
 
 from edge_router.decision import policy
+from edge_router.decision.link_load import LinkLoad
+from edge_router.decision.outlier_detection import OutlierDetector
+from edge_router.decision.pending_request import AttemptRecord, PendingRequest
+from edge_router.decision.popularity import Popularity
+from edge_router.decision.purges import RecentPurges
+from edge_router.decision.slow_start import SlowStartBudget
 from edge_router.model_checker.fingerprint.common import (
     DERIVED,
     FIXED,
@@ -19,7 +25,7 @@
 DECISION: Ledger = {
     policy.RoutingPolicy: Fields(
         "_listed _popularity _cache_health _source_health _cold_caches _cold_parents _purges _held "
-        "_loads _wait _origin _link _copies _mean_work _hedges",
+        "_loads _wait _origin _link _copies _mean_work _retry_budget",
         {
             "_set": FIXED,
             "_pace": FIXED,
@@ -37,25 +43,37 @@
             "handle": "wrapped for the observer",
         },
     ),
-    policy.PendingRequest: Fields(
-        "work deadline aim attempts missed spares tried bad_sources",
-        {"request": DERIVED, "cls": DERIVED, "why": REPORTED},
+    PendingRequest: Fields(
+        "work deadline latency_objective attempts missed spares_origin tried_endpoints failed_sources",
+        {"request": DERIVED, "settings": DERIVED, "rejection_reason": REPORTED},
     ),
-    policy.AttemptRecord: Fields(
-        "node source sent due fills budget beside filling pending may_have_run overdue",
-        {"load": DERIVED, "source_load": DERIVED},
+    AttemptRecord: Fields(
+        "endpoint_id source_id sent_at overdue_at fill_expected parent_charge concurrent_attempts "
+        "concurrent_fills pending may_have_run overdue",
+        {"cache_load": DERIVED, "source_load": DERIVED},
     ),
-    policy.Load: Fields("carries room span out work took sent at", {}),
-    policy.Health: Fields("heard marks until broke", {}),
-    policy.ColdBudget: Fields(
-        "sent", {"_from": FIXED, "_warm_up": FIXED, "_multiple": FIXED, "_window": FIXED}
+    LinkLoad: Fields(
+        "capacity headroom shortest_objective in_flight in_flight_work transfer_time transfer_work "
+        "updated_at",
+        {},
     ),
-    policy.Purges: Fields(
-        "_moments",
-        {"_lasts": FIXED, "_next_sweep": "when what is over is dropped; it has no effect"},
+    OutlierDetector: Fields("last_success failure_score ejected_until last_reset", {}),
+    SlowStartBudget: Fields(
+        "charges",
+        {
+            "_initial_capacity": FIXED,
+            "_duration": FIXED,
+            "_overload_factor": FIXED,
+            "_overload_window": FIXED,
+        },
+    ),
+    RecentPurges: Fields(
+        "_purges",
+        {"_retention": FIXED, "_next_cleanup_at": "when what is over is dropped; it has no effect"},
     ),
-    policy.Popularity: Fields(
-        "_table _total _bytes _origin _seen _rebuild_at _least _cuts",
+    Popularity: Fields(
+        "_counts _total_count _total_kb _weight_origin _request_count _next_ranking_at _top_set_min_count "
+        "_rank_cutoffs",
         {"_half_life": FIXED},
     ),
 }
@@ -70,7 +88,7 @@
         tuple(_cold_budget(each, frame) for each in (director._cold_caches, director._cold_parents)),
         tuple(
             (key, frame.time(at), frame.time(told))
-            for key, (at, told) in sorted(director._purges._moments.items())
+            for key, (at, told) in sorted(director._purges._purges.items())
         ),
         tuple(sorted((frame.place(req), *_held(held, frame)) for req, held in director._held.items())),
         tuple((key, *_load(load, frame)) for key, load in sorted(director._loads.items())),
@@ -78,29 +96,29 @@
         _load(director._origin, frame),
         _load(director._link, frame),
         tuple((key, frame.time(at)) for key, at in sorted(director._copies.items())),
-        tuple((count, rounded(mean)) for count, mean in director._mean_work),
-        rounded(director._hedges),
+        tuple((each.requests, rounded(each.mean)) for each in director._mean_work),
+        rounded(director._retry_budget.tokens),
     )
 
 
-def _popularity(popularity: policy.Popularity, frame: Frame) -> tuple[Any, ...]:
+def _popularity(popularity: Popularity, frame: Frame) -> tuple[Any, ...]:
     table = tuple(
-        (key, rounded(item.size), rounded(item.count), item.parts)
-        for key, item in sorted(popularity._table.items())
+        (key, rounded(item.size_kb), rounded(item.count), item.segments)
+        for key, item in sorted(popularity._counts.items())
     )
     return (
         table,
-        rounded(popularity._total),
-        rounded(popularity._bytes),
-        frame.time(popularity._origin),
-        popularity._seen,
-        popularity._rebuild_at,
-        rounded(popularity._least),
-        popularity._cuts,
+        rounded(popularity._total_count),
+        rounded(popularity._total_kb),
+        frame.time(popularity._weight_origin),
+        popularity._request_count,
+        popularity._next_ranking_at,
+        rounded(popularity._top_set_min_count),
+        popularity._rank_cutoffs,
     )
 
 
-def _known_health(nodes: dict[int, policy.Health], frame: Frame) -> tuple[Any, ...]:
+def _known_health(nodes: dict[int, OutlierDetector], frame: Frame) -> tuple[Any, ...]:
     """The health of the nodes of which anything is known."""
     return tuple(
         (key, *found)
@@ -109,63 +127,63 @@
     )
 
 
-def _health(health: policy.Health, frame: Frame) -> tuple[float, ...] | None:
+def _health(health: OutlierDetector, frame: Frame) -> tuple[float, ...] | None:
     """A node's health; None if nothing is known."""
     found = (
-        frame.time(health.heard),
-        float(health.marks),
-        frame.time(health.until),
-        frame.time(health.broke),
+        frame.time(health.last_success),
+        float(health.failure_score),
+        frame.time(health.ejected_until),
+        frame.time(health.last_reset),
     )
     return None if found == (-math.inf, 0.0, -math.inf, -math.inf) else found
 
 
-def _cold_budget(budget: policy.ColdBudget, frame: Frame) -> tuple[Any, ...]:
+def _cold_budget(budget: SlowStartBudget, frame: Frame) -> tuple[Any, ...]:
     return tuple(
-        (key, tuple((frame.time(at), rounded(work)) for at, work in entries))
-        for key, entries in sorted(budget.sent.items())
+        (key, tuple((frame.time(each.charged_at), rounded(each.work)) for each in charges))
+        for key, charges in sorted(budget.charges.items())
     )
 
 
-def _load(load: policy.Load, frame: Frame) -> tuple[Any, ...]:
+def _load(load: LinkLoad, frame: Frame) -> tuple[Any, ...]:
     """The load of a link."""
     return (
-        rounded(load.carries),
-        rounded(load.room),
-        load.out,
-        rounded(load.work),
-        rounded(load.took),
-        rounded(load.sent),
-        frame.time(load.at),
+        rounded(load.capacity),
+        rounded(load.headroom),
+        load.in_flight,
+        rounded(load.in_flight_work),
+        rounded(load.transfer_time),
+        rounded(load.transfer_work),
+        frame.time(load.updated_at),
     )
 
 
-def _attempt(attempt: policy.AttemptRecord, frame: Frame) -> tuple[Any, ...]:
+def _attempt(attempt: AttemptRecord, frame: Frame) -> tuple[Any, ...]:
     return (
-        attempt.node,
-        attempt.source,
-        frame.time(attempt.sent),
-        frame.time(attempt.due),
-        attempt.fills,
-        frame.time(attempt.budget[0]),
-        rounded(attempt.budget[1]),
-        attempt.beside,
-        attempt.filling,
+        attempt.endpoint_id,
+        attempt.source_id,
+        frame.time(attempt.sent_at),
+        frame.time(attempt.overdue_at),
+        attempt.fill_expected,
+        frame.time(attempt.parent_charge.charged_at),
+        rounded(attempt.parent_charge.work),
+        attempt.concurrent_attempts,
+        attempt.concurrent_fills,
         attempt.pending,
         attempt.may_have_run,
         attempt.overdue,
     )
 
 
-def _held(held: policy.PendingRequest, frame: Frame) -> tuple[Any, ...]:
+def _held(held: PendingRequest, frame: Frame) -> tuple[Any, ...]:
     """A request that the decision module has in flight."""
     return (
         rounded(held.work),
         frame.time(held.deadline),
-        rounded(held.aim),
+        rounded(held.latency_objective),
         tuple(_attempt(attempt, frame) for attempt in held.attempts),
         held.missed,
-        held.spares,
-        tuple(sorted(held.tried)),
-        tuple(sorted(held.bad_sources)),
+        held.spares_origin,
+        tuple(sorted(held.tried_endpoints)),
+        tuple(sorted(held.failed_sources)),
     )
--- a/edge_router/model_checker/model/clients.py
+++ b/edge_router/model_checker/model/clients.py
@@ -6,7 +6,7 @@
 from enum import StrEnum
 
 from edge_router.decision.messages import Endpoint, EndpointState, RequestReceived
-from edge_router.decision.policy import Ring, part_key
+from edge_router.decision.placement import RendezvousHash, segment_key
 from edge_router.decision.settings import Idempotency
 from edge_router.model_checker import scope as bounds
 from edge_router.model_checker.model.endpoints import FIRST_CACHE
@@ -64,9 +64,11 @@
 
 def _object_key(cls: str, caches: tuple[int, ...]) -> int:
     """The least object of the class whose caches in hash order are those, so that c1 is always its home."""
-    ring = Ring([Endpoint(node, CACHE, 0.0, EndpointState.READY, 0, 1, 1.0) for node in caches], False)
+    ring = RendezvousHash(
+        [Endpoint(node, CACHE, 0.0, EndpointState.READY, 0, 1, 1.0) for node in caches], False
+    )
     key = 1000 * (1 + bounds.CLASS_ORDER.index(cls))
-    while ring.order(part_key(RequestReceived(1, 0, key, 0.0, 0.0, 0, 0))) != caches:
+    while ring.ranked(segment_key(RequestReceived(1, 0, key, 0.0, 0.0, 0, 0))) != caches:
         key += 1
     return key
 
--- a/edge_router/model_checker/model/settling.py
+++ b/edge_router/model_checker/model/settling.py
@@ -20,8 +20,8 @@
     loads = [*director._loads.values(), director._link]
     session_ids = 0 if session.finished else len(session._decoder.open)
     unsent_answers = 0 if session.finished else len(session._answers) + session._unsent
-    attempts_out = sum(abs(load.out) for load in loads)
-    work_out = round(sum(abs(load.work) for load in loads), 6)
+    attempts_out = sum(abs(load.in_flight) for load in loads)
+    work_out = round(sum(abs(load.in_flight_work) for load in loads), 6)
     return {
         "open requests": len(route.requests),
         "request ids": len(route.requests._by_request_id),
--- a/edge_router/model_checker/mutations/decision.py
+++ b/edge_router/model_checker/mutations/decision.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from edge_router.decision import policy, rules
+from edge_router.decision import policy, purges, rules
 from edge_router.model_checker.mutations.common import Mutation
 
 DECISION_MUTATIONS: tuple[Mutation, ...] = (
@@ -26,9 +26,9 @@
     ),
     Mutation(
         "purge-limit-gone",
-        policy.Purges,
-        "limit",
-        "now - told < self._lasts",
+        purges.RecentPurges,
+        "max_copy_age",
+        "now - purge.received_at < self._retention",
         "False",
         ("purge",),
         "no-purged",
@@ -73,7 +73,7 @@
     Mutation(
         "refused-though-it-may-have-run",
         rules,
-        "may_refuse",
+        "may_reject",
         "if cls.idempotency is Idempotency.IDEMPOTENT or not may_have_run:",
         "if True:",
         ("confirm",),
@@ -110,7 +110,7 @@
         "load-not-taken-off",
         policy.RoutingPolicy,
         "_ended",
-        "attempt.load.out -= 1",
+        "attempt.cache_load.in_flight -= 1",
         "pass",
         ("hedge",),
         "no-leak",
--- a/edge_router/proxy/invariants.py
+++ b/edge_router/proxy/invariants.py
@@ -64,7 +64,7 @@
 
     def check_response(self, request: ActiveRequest, verdict: ResponseStatus, now: float) -> None:
         """A request gets its final answer."""
-        if verdict is ResponseStatus.REJECTED and not rules.may_refuse(
+        if verdict is ResponseStatus.REJECTED and not rules.may_reject(
             self._class(request), any(attempt.may_have_run() for attempt in request.attempts)
         ):
             self._broken("refused_after_run", request)
--- a/edge_router/proxy/request_router.py
+++ b/edge_router/proxy/request_router.py
@@ -26,7 +26,8 @@
     TimerFired,
     UpdateKind,
 )
-from edge_router.decision.policy import PURGE_MARGIN, RoutingPolicy
+from edge_router.decision.policy import RoutingPolicy
+from edge_router.decision.purges import PURGE_RETENTION_FACTOR
 from edge_router.decision.settings import Settings
 from edge_router.discovery.endpoint_table import EndpointTable
 from edge_router.discovery.events import DiscoveryEvent, EndpointsChanged, ObjectPurged
@@ -75,7 +76,9 @@
         self._wake = wake
         self.accounting = RequestAccounting(settings, clock, self.admission, self.post)
         self.peer_clock = PeerClock(clock)
-        self.purges = PurgeHistory(settings.purge_settle_time * PURGE_MARGIN + settings.purge_notice_time)
+        self.purges = PurgeHistory(
+            settings.purge_settle_time * PURGE_RETENTION_FACTOR + settings.purge_notice_time
+        )
         self.response_handler = ResponseHandler(
             settings, self.accounting, clock, self.peer_clock, self.purges
         )
@@ -158,7 +161,7 @@
     def response_without_decision(self, request: ActiveRequest) -> FinalResponse:
         """The final answer to a request that ends without a decision: refused if that is surely harmless."""
         may_have_run = any(attempt.may_have_run() for attempt in request.attempts)
-        if rules.may_refuse(self._settings.classes[request.incoming.class_index], may_have_run):
+        if rules.may_reject(self._settings.classes[request.incoming.class_index], may_have_run):
             return FinalResponse(ResponseStatus.REJECTED, retry_after=self.admission.retry_after())
         return FinalResponse(ResponseStatus.FAILED)
 
--- a/tests/test_policy_placement.py
+++ b/tests/test_policy_placement.py
@@ -23,7 +23,7 @@
     Outcome,
     UpdateKind,
 )
-from edge_router.decision.policy import Ring
+from edge_router.decision.placement import RendezvousHash
 
 
 def make_caches(count: int, weight: float = 1.0) -> list[Endpoint]:
@@ -32,17 +32,17 @@
 
 def test_shares_follow_the_endpoint_weights() -> None:
     listed = [*make_caches(3), Endpoint(9, 0, 0.0, EndpointState.READY, 0, 1, 3.0)]
-    homes = Counter(Ring(listed, True).order(key)[0] for key in range(6000))
+    homes = Counter(RendezvousHash(listed, True).ranked(key)[0] for key in range(6000))
     assert abs(homes[9] / 6000 - 0.5) < 0.03
-    flat = Counter(Ring(listed, False).order(key)[0] for key in range(6000))
+    flat = Counter(RendezvousHash(listed, False).ranked(key)[0] for key in range(6000))
     assert abs(flat[9] / 6000 - 0.25) < 0.03
 
 
 def test_removed_endpoint_moves_only_its_own_objects() -> None:
-    before, after = Ring(make_caches(8), True), Ring(make_caches(7), True)
+    before, after = RendezvousHash(make_caches(8), True), RendezvousHash(make_caches(7), True)
     for key in range(500):
-        home = before.order(key)[0]
-        assert home == 8 or after.order(key)[0] == home
+        home = before.ranked(key)[0]
+        assert home == 8 or after.ranked(key)[0] == home
 
 
 def test_all_routers_choose_the_same_home_and_parent() -> None:
--- a/tests/test_policy_robustness.py
+++ b/tests/test_policy_robustness.py
@@ -135,10 +135,10 @@
         routing_policy._loads,
         routing_policy._cache_health,
         routing_policy._source_health,
-        routing_policy._cold_caches.sent,
+        routing_policy._cold_caches.charges,
     ]
     assert all(set(table) <= {*CACHES, *PARENTS, ORIGIN} for table in tables)
-    assert min(load.out for load in routing_policy._loads.values()) >= 0
+    assert min(load.in_flight for load in routing_policy._loads.values()) >= 0
 
 
 def test_records_of_old_copies_are_dropped(policy: PolicyHarness) -> None:
