--- a/edge_router/model_checker/fingerprint/__init__.py
+++ b/edge_router/model_checker/fingerprint/__init__.py
@@ -73,6 +73,7 @@
         route.accounting,
         route.response_handler,
         route.dispatcher,
+        route.dispatcher.pool,
         route.requests,
         route.endpoints,
         route.purges,
--- a/edge_router/model_checker/fingerprint/peers.py
+++ b/edge_router/model_checker/fingerprint/peers.py
@@ -43,7 +43,7 @@
         tuple(sorted(dict.fromkeys(channel.done))),
         tuple(sorted(channel.numbers.items())),
         channel.unsent,
-        any(link is channel.link for link in harness.route.dispatcher._connections.get(node, ())),
+        any(link is channel.link for link in harness.route.dispatcher.pool._connections.get(node, ())),
     )
 
 
--- a/edge_router/model_checker/fingerprint/proxy.py
+++ b/edge_router/model_checker/fingerprint/proxy.py
@@ -17,9 +17,13 @@
     Ledger,
     rounded,
 )
-from edge_router.proxy import admission, dispatch, request_table, response_handler
+from edge_router.proxy import admission, request_table, response_handler
 from edge_router.proxy.accounting import RequestAccounting
+from edge_router.proxy.connection_pool import ConnectionPool
+from edge_router.proxy.dispatcher import AttemptDispatcher
+from edge_router.proxy.fetch_command import FetchCommand
 from edge_router.proxy.request_router import RequestRouter
+from edge_router.proxy.upstream_connections import UpstreamConnection
 from edge_router.runtime.memory_budget import MemoryBudget
 from edge_router.runtime.timers import TimerHandle
 
@@ -81,22 +85,32 @@
         },
     ),
     purge_history.PurgeHistory: Fields("_purges", {"_retention": FIXED, "_next_sweep": DERIVED}),
-    dispatch.AttemptDispatcher: Fields(
-        "max_connections _connections _connection_of",
+    AttemptDispatcher: Fields(
+        "_connection_of",
         {
             "_clock": WIRING,
             "_timers": WIRING,
             "_endpoints": WIRING,
-            "_settings": FIXED,
             "_accounting": WIRING,
             "_response_handler": WIRING,
+            "pool": WIRING,
+        },
+    ),
+    ConnectionPool: Fields(
+        "max_connections _connections",
+        {
+            "_clock": WIRING,
+            "_timers": WIRING,
+            "_endpoints": WIRING,
+            "_settings": FIXED,
+            "_counts": REPORTED,
             "_connect": WIRING,
         },
     ),
-    dispatch.UpstreamConnection: Fields(
+    UpstreamConnection: Fields(
         "endpoint_id address opened_at attempts abandoned_ids answered_ids suspect "
         "last_received_at last_used_at channel",
-        {"_dispatcher": WIRING},
+        {"_owner": WIRING},
     ),
     request_table.RequestTable: Fields(
         "_by_number _by_request_id", {"_last_number": "a request is named by its place"}
@@ -131,7 +145,7 @@
         tuple((frame.time(came), frame.place(request.request_number)) for came, request in route._undecided),
         _links(route, frame),
         _attempts_on_links(route, frame),
-        route.dispatcher.max_connections,
+        route.dispatcher.pool.max_connections,
         memory.limit,
         memory._used,
     )
@@ -154,7 +168,7 @@
 def _links(route: RequestRouter, frame: Frame) -> tuple[Any, ...]:
     return tuple(
         (key, tuple(_link(link, frame) for link in links))
-        for key, links in sorted(route.dispatcher._connections.items())
+        for key, links in sorted(route.dispatcher.pool._connections.items())
     )
 
 
@@ -212,7 +226,7 @@
     )
 
 
-def _link(link: dispatch.UpstreamConnection, frame: Frame) -> tuple[Any, ...]:
+def _link(link: UpstreamConnection, frame: Frame) -> tuple[Any, ...]:
     """A connection to a cache as the send stage sees it, without its channel."""
     return (
         link.endpoint_id,
@@ -229,7 +243,7 @@
 
 def encode_command(command: Any, frame: Frame) -> tuple[Any, ...]:
     """A command (a fetch or an abort) that waits to be written."""
-    if isinstance(command, dispatch.FetchCommand):
-        attempt = command._attempt
+    if isinstance(command, FetchCommand):
+        attempt = command.attempt
         return (frame.place(attempt.request.request_number), attempt.index, attempt.ended)
-    return (command._txn,)
+    return (command.request_id,)
--- a/edge_router/model_checker/model/harness.py
+++ b/edge_router/model_checker/model/harness.py
@@ -11,9 +11,10 @@
 from edge_router.model_checker.peers import ServerChannel
 from edge_router.model_checker.properties import Observer
 from edge_router.model_checker.scope import CLASSES, Scope
-from edge_router.proxy.dispatch import UpstreamConnection, connection_limit
+from edge_router.proxy.connection_pool import connection_limit
 from edge_router.proxy.fastcgi_frontend import FastCgiFrontend
 from edge_router.proxy.request_router import RequestRouter
+from edge_router.proxy.upstream_connections import UpstreamConnection
 from edge_router.runtime import event_log as ground_log
 from edge_router.runtime.clock import Clock, CpuCredit
 from edge_router.runtime.memory_budget import MemoryBudget
--- a/edge_router/model_checker/peers.py
+++ b/edge_router/model_checker/peers.py
@@ -10,7 +10,7 @@
 from typing import Protocol
 
 from edge_router.protocol import fastcgi, resp
-from edge_router.proxy.dispatch import UpstreamConnection
+from edge_router.proxy.upstream_connections import UpstreamConnection
 from edge_router.runtime.memory_budget import MemoryBudget
 from edge_router.transport.client_session import ClientSession, RequestHandler
 from edge_router.transport.upstream_channel import UpstreamChannel
--- /dev/null
+++ b/edge_router/proxy/dispatcher.py
@@ -0,0 +1,209 @@
+"""Takes attempts to their endpoints, with a last check before the first byte, and ends each of them."""
+
+from __future__ import annotations
+
+from functools import partial
+
+from edge_router.decision import rules
+from edge_router.decision.messages import Outcome, StartAttempt
+from edge_router.discovery.endpoint_table import EndpointTable
+from edge_router.protocol import resp
+from edge_router.proxy.accounting import RequestAccounting
+from edge_router.proxy.connection_pool import ConnectionPool
+from edge_router.proxy.fetch_command import AbortCommand, FetchCommand, encode_fetch
+from edge_router.proxy.request_table import Attempt
+from edge_router.proxy.response_handler import CacheResponse, ResponseHandler
+from edge_router.proxy.upstream_connections import UpstreamConnection
+from edge_router.runtime.clock import Clock
+from edge_router.runtime.event_log import log_rate_limited
+from edge_router.runtime.timers import Timers
+
+RESPONSE_PARTS = 4  # request id, status, fields, body (PROTOCOL page)
+
+
+class AttemptDispatcher:
+    """Sends attempts on connections of the pool, and hands their responses and failures on."""
+
+    def __init__(
+        self,
+        clock: Clock,
+        timers: Timers,
+        endpoints: EndpointTable,
+        pool: ConnectionPool,
+        accounting: RequestAccounting,
+        response_handler: ResponseHandler,
+    ) -> None:
+        self._clock, self._timers, self._endpoints = clock, timers, endpoints
+        self._accounting, self._response_handler = accounting, response_handler
+        self.pool = pool
+        self._connection_of: dict[Attempt, UpstreamConnection] = {}
+
+    @property
+    def max_connections(self) -> int:
+        """The limit of the pool of connections."""
+        return self.pool.max_connections
+
+    @max_connections.setter
+    def max_connections(self, limit: int) -> None:
+        self.pool.max_connections = limit
+
+    def connection_count(self) -> int:
+        """Return how many connections the pool has."""
+        return self.pool.connection_count()
+
+    def dispatch(self, attempt: Attempt) -> None:
+        """Send an attempt, and end it as timed out at its deadline."""
+        attempt.timeout_timer = self._timers.call_at(
+            attempt.instruction.deadline, partial(self.on_attempt_timeout, attempt)
+        )
+        self._place(attempt)
+
+    def _place(self, attempt: Attempt) -> None:
+        """Queue an attempt on a connection; without one, it ends as not sent."""
+        if not self.check_sendable(attempt):
+            return
+        endpoint_id, request_id = attempt.instruction.endpoint_id, attempt.request.incoming.request_id
+        connection = self.pool.acquire(endpoint_id, request_id, self)
+        if connection is None:  # a shortage of our own, which says nothing of the endpoint
+            log_rate_limited(
+                "no-upstream-connection",
+                request=request_id,
+                endpoint=f"s-{endpoint_id:08x}",
+                upstream_connections=self.pool.connection_count(),
+            )
+            self._accounting.attempt_ended(attempt, Outcome.NOT_SENT)
+            return
+        connection.attempts[request_id] = attempt
+        self._connection_of[attempt] = connection
+        connection.channel.send(FetchCommand(self.begin, attempt))
+
+    def _source_ready(self, instruction: StartAttempt) -> bool:
+        """Return whether the source of a fill, if it is another endpoint, is listed as ready."""
+        return instruction.source_id == instruction.endpoint_id or self._endpoints.is_ready(
+            instruction.source_id
+        )
+
+    def check_sendable(self, attempt: Attempt) -> bool:
+        """Return whether an attempt may still be sent; if not, it ends as not sent.
+
+        Checked again right before its first byte, as endpoints drain, requests end and purges arrive after
+        the decision, also where the settings allow no cancelling.
+        """
+        if attempt.ended:
+            return False
+        instruction = attempt.instruction
+        denial = rules.send_denial(
+            self._clock.now(),
+            answered=attempt.request.answered,
+            purged=attempt.purged,
+            cut_at=instruction.deadline,
+            begin_by=instruction.start_before,
+            node_ready=self._endpoints.is_ready(instruction.endpoint_id),
+            source_ready=self._source_ready(instruction),
+        )
+        if denial is None:
+            return True
+        self._accounting.counts[f"not_sent_{denial.value}"] += 1
+        log_rate_limited(
+            "attempt-not-sent",
+            request=attempt.request.incoming.request_id,
+            reason=denial.value,
+            endpoint=f"s-{instruction.endpoint_id:08x}",
+            attempt=attempt.index,
+        )
+        self._finish(attempt, Outcome.NOT_SENT)
+        return False
+
+    def begin(self, attempt: Attempt) -> bytes | None:
+        """Return the bytes of an attempt that is about to be written; None if it may not be sent any more."""
+        attempt.request.incoming.poll_client()  # the client may have left without our having read it
+        if not self.check_sendable(attempt):
+            return None
+        now, instruction = self._clock.now(), attempt.instruction
+        ready = self._endpoints.is_ready(instruction.endpoint_id) and self._source_ready(instruction)
+        self._accounting.invariants.check_send(attempt, now, ready)
+        attempt.sent_at = now
+        return encode_fetch(attempt, now)
+
+    def cancel(self, attempt: Attempt, outcome: Outcome = Outcome.CANCELLED) -> None:
+        """End an attempt; if it was written, abort it by its id."""
+        connection = self._connection_of.get(attempt)
+        if attempt.sent_at and connection is not None and not connection.channel.closed:
+            request_id = attempt.request.incoming.request_id
+            connection.abandoned_ids.append(request_id)
+            connection.channel.send(AbortCommand(request_id))
+            silent_for = self._clock.now() - max(attempt.sent_at, connection.last_received_at)
+            connection.suspect |= silent_for > self.pool.max_silence()
+        self._finish(attempt, outcome)
+
+    def on_attempt_timeout(self, attempt: Attempt) -> None:
+        """End an attempt at its deadline; one that was never written has surely not run."""
+        if connection := self._connection_of.get(attempt):
+            now = self._clock.now()
+            log_rate_limited(
+                "attempt-timeout",
+                request=attempt.request.incoming.request_id,
+                endpoint=f"s-{connection.endpoint_id:08x}",
+                address=":".join(map(str, connection.address)),
+                connected=connection.channel.connected,
+                connection_age_ms=now - connection.opened_at,
+                silent_ms=now - connection.last_received_at,
+                sent_ago_ms=now - attempt.sent_at if attempt.sent_at else -1.0,
+                open=len(connection.attempts),
+            )
+        self.cancel(attempt, Outcome.TIMEOUT if attempt.sent_at else Outcome.CONNECT_FAILED)
+
+    def _finish(self, attempt: Attempt, outcome: Outcome) -> None:
+        self._detach(attempt)
+        self._accounting.attempt_ended(attempt, outcome)
+
+    def _detach(self, attempt: Attempt) -> None:
+        connection = self._connection_of.pop(attempt, None)
+        if connection is not None:
+            connection.attempts.pop(attempt.request.incoming.request_id, None)
+
+    def on_response(self, connection: UpstreamConnection, array: list[bytes]) -> None:
+        """Handle a response on a connection; one under an id that is not open there is dropped.
+
+        Raises RespError if it is malformed: then nothing on this connection can be trusted any more.
+        """
+        if len(array) != RESPONSE_PARTS:
+            raise resp.RespError(f"an answer of {len(array)} parts")
+        request_id = array[0].decode("latin-1")
+        response = CacheResponse(array[1].decode("latin-1"), resp.fields_of(array[2]), array[3])
+        attempt = connection.attempts.get(request_id)
+        if attempt is None or not attempt.sent_at:
+            if request_id in connection.abandoned_ids:
+                connection.last_received_at = self._clock.now()
+            return
+        if reason := self._response_handler.validate_response(attempt, response):
+            raise resp.RespError(reason)
+        connection.last_received_at = connection.last_used_at = self._clock.now()
+        connection.answered_ids.append(request_id)
+        self._detach(attempt)
+        self._response_handler.on_response(attempt, response)
+
+    def on_connection_lost(self, connection: UpstreamConnection, reason: str) -> None:
+        """Handle the end of a connection: attempts that were written may have run, the others have not.
+
+        An attempt that was not written goes to another connection, once, if this one had come up: a
+        connection that is reset says little of the endpoint.
+        """
+        self.pool.remove(connection)
+        if connection.attempts:
+            log_rate_limited(
+                "upstream-connection-lost",
+                endpoint=f"s-{connection.endpoint_id:08x}",
+                open=len(connection.attempts),
+                reason=reason,
+            )
+        for attempt in list(connection.attempts.values()):
+            if attempt.ended:
+                continue
+            if connection.channel.connected and not attempt.sent_at and not attempt.reassigned:
+                attempt.reassigned = True
+                self._detach(attempt)
+                self._place(attempt)
+            else:
+                unsent = Outcome.NOT_SENT if connection.channel.local_shortage else Outcome.CONNECT_FAILED
+                self._finish(attempt, Outcome.RESET if attempt.sent_at else unsent)
--- a/edge_router/proxy/request_router.py
+++ b/edge_router/proxy/request_router.py
@@ -33,7 +33,8 @@
 from edge_router.discovery.purge_history import PurgeHistory
 from edge_router.proxy.accounting import RequestAccounting
 from edge_router.proxy.admission import AdmissionController
-from edge_router.proxy.dispatch import AttemptDispatcher, Connect
+from edge_router.proxy.connection_pool import Connect, ConnectionPool
+from edge_router.proxy.dispatcher import AttemptDispatcher
 from edge_router.proxy.exchange import FinalResponse, IncomingRequest, ResponseStatus
 from edge_router.proxy.request_table import ActiveRequest, Attempt, RequestTable
 from edge_router.proxy.response_handler import ResponseHandler
@@ -79,8 +80,9 @@
         self.response_handler = ResponseHandler(
             settings, self.accounting, clock, self.peer_clock, self.purges
         )
+        pool = ConnectionPool(clock, timers, self.endpoints, settings, self.accounting.counts, connect)
         self.dispatcher = AttemptDispatcher(
-            clock, timers, self.endpoints, settings, self.accounting, self.response_handler, connect
+            clock, timers, self.endpoints, pool, self.accounting, self.response_handler
         )
         self._carry: dict[type, Callable[[Any], None]] = {
             StartAttempt: self._get,
@@ -199,7 +201,7 @@
         for member in members:
             node = member.endpoint
             if node.started_at > 0:
-                self.dispatcher.on_endpoint_restarted(node.endpoint_id, node.started_at)
+                self.dispatcher.pool.close_opened_before(node.endpoint_id, node.started_at)
             log(
                 "endpoint",
                 id=f"s-{node.endpoint_id:08x}",
@@ -209,7 +211,7 @@
                 started_at=f"{node.started_at:.0f}",
                 address=f"{member.host}:{member.port}",
             )
-        self.dispatcher.close_removed_endpoints()
+        self.dispatcher.pool.close_removed_endpoints()
 
     def _with_local_start(self, node: Endpoint) -> Endpoint:
         """The entry with the moment of its start by our clock, translated once; not later than the news."""
--- /dev/null
+++ b/edge_router/proxy/upstream_connections.py
@@ -0,0 +1,71 @@
+"""A connection to a cache endpoint, the attempts that are open on it and those that it has carried."""
+
+from __future__ import annotations
+
+from collections import deque
+from typing import Protocol
+
+from edge_router.decision.messages import EndpointId
+from edge_router.proxy.request_table import Attempt
+from edge_router.transport.upstream_channel import UpstreamChannel
+
+REMEMBERED_IDS = 256  # ids of abandoned and of answered attempts that a connection remembers, each
+
+
+class ConnectionOwner(Protocol):
+    """Handles what happens on the connections that it uses."""
+
+    def on_response(self, connection: UpstreamConnection, array: list[bytes]) -> None:
+        """Handle a response; raises RespError if it is malformed, which ends the connection."""
+
+    def on_connection_lost(self, connection: UpstreamConnection, reason: str) -> None:
+        """Handle the end of a connection, or that it never came up. Called once."""
+
+
+class UpstreamConnection:
+    """A connection to an endpoint and its open attempts; times are ms of the router's clock."""
+
+    def __init__(
+        self, endpoint_id: EndpointId, owner: ConnectionOwner, address: tuple[str, int], now: float
+    ) -> None:
+        self.endpoint_id = endpoint_id
+        self.address = address
+        self.opened_at = now
+        self.attempts: dict[str, Attempt] = {}  # by request id
+        self.abandoned_ids: deque[str] = deque(maxlen=REMEMBERED_IDS)
+        self.answered_ids: deque[str] = deque(maxlen=REMEMBERED_IDS)
+        self.suspect = False  # an attempt was cancelled on it after a long silence
+        self.last_received_at = now
+        self.last_used_at = now
+        self._owner = owner
+        self.channel: UpstreamChannel
+
+    def on_message(self, connection: UpstreamChannel, array: list[bytes]) -> None:  # noqa: ARG002
+        """Pass a response on to the owner."""
+        self._owner.on_response(self, array)
+
+    def on_channel_closed(self, connection: UpstreamChannel, why: str) -> None:  # noqa: ARG002
+        """Tell the owner that the connection has ended."""
+        self._owner.on_connection_lost(self, why)
+
+    def accepts(self, request_id: str, now: float, max_streams: int, max_silence: float) -> bool:
+        """Return whether one more attempt may go on this connection.
+
+        An id goes on a connection once: a late or second response to its first attempt would be taken for
+        that to the next, which may run although the response was `full`. A connection that owes responses
+        and has been silent for `max_silence` ms takes no more, as its machine may have vanished.
+        """
+        if (
+            self.channel.closed
+            or self.suspect
+            or request_id in self.attempts
+            or request_id in self.abandoned_ids
+            or (request_id in self.answered_ids)
+        ):
+            return False
+        if not self.attempts:
+            return True
+        if len(self.attempts) >= max_streams:
+            return False
+        oldest = min(attempt.sent_at or attempt.created_at for attempt in self.attempts.values())
+        return now - max(oldest, self.last_received_at) < max_silence
--- a/edge_router/server/server.py
+++ b/edge_router/server/server.py
@@ -17,7 +17,7 @@
 from edge_router.config.platform_file import ConfigError, RouterConfig
 from edge_router.config.reload import Reloader
 from edge_router.discovery.change_log_watcher import ChangeLogWatcher
-from edge_router.proxy.dispatch import connection_limit
+from edge_router.proxy.connection_pool import connection_limit
 from edge_router.proxy.fastcgi_frontend import FastCgiFrontend
 from edge_router.proxy.request_router import RequestRouter
 from edge_router.runtime.clock import Clock
