--- a/edge_router/model_checker/fingerprint/__init__.py
+++ b/edge_router/model_checker/fingerprint/__init__.py
@@ -72,6 +72,7 @@
         route.admission,
         route.accounting,
         route.response_handler,
+        route._discovery_updates,
         route.dispatcher,
         route.dispatcher.pool,
         route.requests,
--- a/edge_router/model_checker/fingerprint/proxy.py
+++ b/edge_router/model_checker/fingerprint/proxy.py
@@ -20,6 +20,7 @@
 from edge_router.proxy import admission, request_table, response_handler
 from edge_router.proxy.accounting import RequestAccounting
 from edge_router.proxy.connection_pool import ConnectionPool
+from edge_router.proxy.discovery_updates import DiscoveryUpdates
 from edge_router.proxy.dispatcher import AttemptDispatcher
 from edge_router.proxy.fetch_command import FetchCommand
 from edge_router.proxy.request_router import RequestRouter
@@ -43,11 +44,12 @@
             "accounting": WIRING,
             "response_handler": WIRING,
             "dispatcher": WIRING,
-            "_carry": FIXED,
+            "_discovery_updates": WIRING,
+            "_action_handlers": FIXED,
             "_wake": WIRING,
             "_events": "empty between steps",
-            "_busy": "false between steps",
-            "_said": REPORTED,
+            "_processing": "false between steps",
+            "_logged_at": REPORTED,
         },
     ),
     admission.AdmissionController: Fields(
@@ -85,6 +87,18 @@
         },
     ),
     purge_history.PurgeHistory: Fields("_purges", {"_retention": FIXED, "_next_sweep": DERIVED}),
+    DiscoveryUpdates: Fields(
+        "",
+        {
+            "_clock": WIRING,
+            "_peer_clock": WIRING,
+            "_endpoints": WIRING,
+            "_purges": WIRING,
+            "_requests": WIRING,
+            "_dispatcher": WIRING,
+            "_post": WIRING,
+        },
+    ),
     AttemptDispatcher: Fields(
         "_connection_of",
         {
--- a/edge_router/model_checker/model/clients.py
+++ b/edge_router/model_checker/model/clients.py
@@ -21,7 +21,7 @@
 from edge_router.model_checker.scope import CACHE, CLASSES, Scope
 from edge_router.protocol import fastcgi
 from edge_router.proxy.admission import MARGIN
-from edge_router.proxy.request_router import BACKSTOP
+from edge_router.proxy.request_router import BACKSTOP_DELAY
 
 TTL = 400.0  # milliseconds that clients wait
 BODY = b"b" * 8
@@ -121,7 +121,7 @@
         self._set_progress(place, Progress.ASKED)
         txn, harness = txn_id(place), self._harness
         deadline = min(harness.now + TTL - MARGIN, harness.route.admission.answer_by)
-        harness.observer.request_received(txn, cls, deadline + BACKSTOP)
+        harness.observer.request_received(txn, cls, deadline + BACKSTOP_DELAY)
         if self.session.finished:
             self.session = self._open_session()
         settings = CLASSES[cls]
--- /dev/null
+++ b/edge_router/proxy/discovery_updates.py
@@ -0,0 +1,97 @@
+"""Applies what discovery learns (endpoints and purges), and then checks the unsent attempts again."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from edge_router.decision.messages import Endpoint, EndpointListUpdate, Event, PurgeReceived, UpdateKind
+from edge_router.discovery.endpoint_table import EndpointTable
+from edge_router.discovery.events import DiscoveryEvent, EndpointsChanged, ObjectPurged
+from edge_router.discovery.purge_history import PurgeHistory
+from edge_router.proxy.dispatcher import AttemptDispatcher
+from edge_router.proxy.request_table import RequestTable
+from edge_router.runtime.clock import Clock
+from edge_router.runtime.event_log import log
+from edge_router.runtime.peer_clock import PeerClock
+
+
+class DiscoveryUpdates:
+    """Applies the events of discovery to the tables, the connections and the decisions."""
+
+    def __init__(
+        self,
+        clock: Clock,
+        peer_clock: PeerClock,
+        endpoints: EndpointTable,
+        purges: PurgeHistory,
+        requests: RequestTable,
+        dispatcher: AttemptDispatcher,
+        post: Callable[[Event], None],
+    ) -> None:
+        self._clock, self._peer_clock = clock, peer_clock
+        self._endpoints, self._purges, self._requests = endpoints, purges, requests
+        self._dispatcher, self._post = dispatcher, post
+
+    def apply(self, event: DiscoveryEvent) -> None:
+        """Apply a change of the endpoints or a purge.
+
+        The attempts that wait to be written are checked again after the decisions have seen the event.
+        """
+        unsent = self._requests.unsent_attempts()
+        if isinstance(event, ObjectPurged):
+            self._record_purge(event)
+            for attempt in unsent:
+                incoming = attempt.request.incoming
+                attempt.purged |= (
+                    incoming.object_key == event.object_key
+                    if event.object_key
+                    else incoming.purge_group == event.purge_group
+                )
+        else:
+            self._update_endpoints(event)
+        for attempt in unsent:
+            self._dispatcher.check_sendable(attempt)
+
+    def _record_purge(self, event: ObjectPurged) -> None:
+        self._peer_clock.observe_event(event.unix_time)
+        now = self._clock.now()
+        self._purges.record(now, event.object_key, event.purge_group, event.unix_time)
+        age = max(0.0, now - self._peer_clock.to_local(event.unix_time))
+        self._post(PurgeReceived(age, event.purge_group, event.object_key))
+
+    def _update_endpoints(self, event: EndpointsChanged) -> None:
+        addresses = tuple(
+            address._replace(endpoint=self._with_local_start(address.endpoint)) for address in event.endpoints
+        )
+        self._endpoints.apply(EndpointsChanged(event.complete, addresses))
+        kind = UpdateKind.FULL if event.complete else UpdateKind.DELTA
+        self._post(EndpointListUpdate(kind, tuple(address.endpoint for address in addresses)))
+        for address in addresses:
+            endpoint = address.endpoint
+            if endpoint.started_at > 0:
+                self._dispatcher.pool.close_opened_before(endpoint.endpoint_id, endpoint.started_at)
+            log(
+                "endpoint",
+                id=f"s-{endpoint.endpoint_id:08x}",
+                state=endpoint.state.name.lower(),
+                role=endpoint.role,
+                zone=endpoint.zone,
+                started_at=f"{endpoint.started_at:.0f}",
+                address=f"{address.host}:{address.port}",
+            )
+        self._dispatcher.pool.close_removed_endpoints()
+
+    def _with_local_start(self, endpoint: Endpoint) -> Endpoint:
+        """Return the endpoint with its start time (ms) by the router's clock instead of its own.
+
+        Translated once for each start, so that it stays the same while the clocks' offset is refined; not
+        later than now.
+        """
+        if endpoint.started_at <= 0:
+            return endpoint
+        started_at = self._endpoints.local_start_time(endpoint.endpoint_id, endpoint.started_at)
+        if started_at is None:
+            self._peer_clock.observe_event(endpoint.started_at)
+            started_at = max(1.0, min(self._peer_clock.to_local(endpoint.started_at), self._clock.now()))
+            self._endpoints.record_start(endpoint.endpoint_id, endpoint.started_at, started_at)
+        return endpoint._replace(started_at=started_at)
--- a/edge_router/proxy/request_table.py
+++ b/edge_router/proxy/request_table.py
@@ -1,4 +1,4 @@
-"""The requests that are open, and their attempts."""
+"""The table of active requests, and the state of each request and of its attempts."""
 
 from __future__ import annotations
 
@@ -10,43 +10,45 @@
 from edge_router.proxy.exchange import IncomingRequest
 from edge_router.runtime.timers import TimerHandle
 
+MAX_REQUEST_NUMBER = 0xFFFFFFFF  # numbers start again at 1 after it
+
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt, from the order to its one end."""
+    """One attempt, from its instruction to its one end. Times are ms of the router's clock."""
 
     request: ActiveRequest
     index: int
     instruction: StartAttempt
     created_at: float
-    sent_at: float = 0.0  # when its first byte was written; 0: never sent so far
-    purged: bool = False  # a purge came after the order
+    sent_at: float = 0.0  # when its first byte was written; 0: not sent
+    purged: bool = False  # a purge of its object arrived after the instruction
     ended: bool = False
-    reassigned: bool = False  # it has been put on another connection
+    reassigned: bool = False  # it has been moved to another connection once
     timeout_timer: TimerHandle | None = None
     outcome: Outcome | None = None  # once it has ended
 
     def may_have_run(self) -> bool:
-        """Whether it was sent and nothing proves that it did not run."""
+        """Return whether it was sent and nothing proves that it did not run."""
         return self.sent_at > 0 and self.outcome not in PROVES_NOT_RUN
 
 
 @dataclass(slots=True, eq=False)
 class ActiveRequest:
-    """A request that has been taken, until its last attempt has ended and it is answered."""
+    """An admitted request, until it is answered and its last attempt has ended."""
 
     request_number: int
     incoming: IncomingRequest
     deadline: float
-    reserved_bytes: int = 0  # bytes that are set aside for it and its answer
+    reserved_bytes: int = 0  # of the memory budget, for it and its response
     answered: bool = False
     backstop_timer: TimerHandle | None = None
-    expired: bool = False  # nothing more goes out for it
+    expired: bool = False  # no further attempt is sent for it
     attempts: list[Attempt] = field(default_factory=list)
 
 
 class RequestTable:
-    """All open requests by their number."""
+    """All active requests, by number and by request id."""
 
     def __init__(self) -> None:
         self._by_number: dict[int, ActiveRequest] = {}
@@ -59,30 +61,30 @@
     def __iter__(self) -> Iterator[ActiveRequest]:
         return iter(list(self._by_number.values()))
 
-    def add(self, asked: IncomingRequest, deadline: float, holds: int) -> ActiveRequest:
-        """Takes a request in, under a new number below 2^32."""
-        self._last_number = self._last_number % 0xFFFFFFFF + 1
-        request = self._by_number[self._last_number] = ActiveRequest(
-            self._last_number, asked, deadline, holds
-        )
-        self._by_request_id[asked.request_id] = request
+    def add(self, incoming: IncomingRequest, deadline: float, reserved_bytes: int) -> ActiveRequest:
+        """Add a request under a new number, from 1 to `MAX_REQUEST_NUMBER`."""
+        self._last_number = self._last_number % MAX_REQUEST_NUMBER + 1
+        request = ActiveRequest(self._last_number, incoming, deadline, reserved_bytes)
+        self._by_number[self._last_number] = request
+        self._by_request_id[incoming.request_id] = request
         return request
 
-    def is_unanswered(self, txn: str) -> bool:
-        """Whether a request of that id is open and not answered."""
-        request = self._by_request_id.get(txn)
+    def is_unanswered(self, request_id: str) -> bool:
+        """Return whether a request of that id is active and not answered."""
+        request = self._by_request_id.get(request_id)
         return request is not None and not request.answered
 
-    def get(self, req: int) -> ActiveRequest | None:
-        """The request of that number, if it is open."""
-        return self._by_number.get(req)
+    def get(self, request_number: int) -> ActiveRequest | None:
+        """Return the request of that number; None if it is not active."""
+        return self._by_number.get(request_number)
 
-    def remove(self, req: int) -> bool:
-        """Forgets a request that is over; says whether it was known until now.
+    def remove(self, request_number: int) -> bool:
+        """Remove a request that is over; return whether it was in the table.
 
-        Guards against one that is still held by a cycle with its attempts, its client's connection and all.
+        Its attempts refer back to it: the list is cleared to break the cycle, so that the memory of the
+        request and of its client connection is freed at once.
         """
-        request = self._by_number.pop(req, None)
+        request = self._by_number.pop(request_number, None)
         if request is None:
             return False
         if self._by_request_id.get(request.incoming.request_id) is request:
@@ -91,7 +93,7 @@
         return True
 
     def unsent_attempts(self) -> list[Attempt]:
-        """Attempts of which nothing has been written yet."""
+        """Return the open attempts of which nothing has been written yet."""
         return [
             attempt
             for request in self._by_number.values()
