--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -287,7 +287,7 @@
         whole.rename(path)
         router.process.send_signal(number)
         pipe.write(json.dumps(router.config))
-    word = "reloaded" if number == signal.SIGHUP else "stopped"
+    word = "configuration-reloaded" if number == signal.SIGHUP else "shutdown-complete"
     router.wait_until(
         lambda: router.log_lines(word) or router.process.poll() is not None, "what the signal asks for"
     )
