--- a/edge_router/server/config_takeover.py
+++ b/edge_router/server/config_takeover.py
@@ -5,7 +5,7 @@
 from edge_router.config.platform_file import RouterConfig
 from edge_router.config.reload import check_same_router
 from edge_router.discovery.change_log_watcher import ChangeLogWatcher
-from edge_router.proxy.dispatch import connection_limit
+from edge_router.proxy.connection_pool import connection_limit
 from edge_router.proxy.request_router import RequestRouter
 from edge_router.runtime.event_log import log
 from edge_router.runtime.memory_budget import MemoryBudget
