--- a/edge_router/model_checker/fingerprint/proxy.py
+++ b/edge_router/model_checker/fingerprint/proxy.py
@@ -17,7 +17,7 @@
     Ledger,
     rounded,
 )
-from edge_router.proxy import admission, dispatch, request_table, response_handler
+from edge_router.proxy import admission, dispatch, request_table, response_handler, response_validation
 from edge_router.proxy.accounting import RequestAccounting
 from edge_router.proxy.request_router import RequestRouter
 from edge_router.runtime.memory_budget import MemoryBudget
@@ -47,7 +47,7 @@
         },
     ),
     admission.AdmissionController: Fields(
-        "cpu_credit answer_by",
+        "cpu_credit latest_deadline",
         {
             "_random": "always the middle here",
             "_max_retry_after": FIXED,
@@ -73,13 +73,16 @@
     response_handler.ResponseHandler: Fields(
         "",
         {
-            "_settings": FIXED,
+            "_load_report_fields": FIXED,
             "_accounting": WIRING,
             "_clock": WIRING,
             "_peer_clock": WIRING,
-            "_purges": WIRING,
+            "validator": WIRING,
         },
     ),
+    response_validation.ResponseValidator: Fields(
+        "", {"_settings": FIXED, "_peer_clock": WIRING, "_purges": WIRING}
+    ),
     purge_history.PurgeHistory: Fields("_purges", {"_retention": FIXED, "_next_sweep": DERIVED}),
     dispatch.AttemptDispatcher: Fields(
         "max_connections _connections _connection_of",
@@ -118,7 +121,7 @@
     """The stages and the tables, in a form that can be sorted and compared."""
     return (
         getattr(route.admission.cpu_credit, "saved", 0.0),
-        frame.time(route.admission.answer_by),
+        frame.time(route.admission.latest_deadline),
         _members(route, frame),
         _purges(route, frame),
         tuple(sorted(_request(request, frame) for request in route.requests)),
--- a/edge_router/model_checker/model/clients.py
+++ b/edge_router/model_checker/model/clients.py
@@ -20,7 +20,7 @@
 from edge_router.model_checker.properties import RequestState, Verdict
 from edge_router.model_checker.scope import CACHE, CLASSES, Scope
 from edge_router.protocol import fastcgi
-from edge_router.proxy.admission import MARGIN
+from edge_router.proxy.admission import RESPONSE_MARGIN
 from edge_router.proxy.request_router import BACKSTOP
 
 TTL = 400.0  # milliseconds that clients wait
@@ -120,7 +120,7 @@
         cls = self.requests[place].cls
         self._set_progress(place, Progress.ASKED)
         txn, harness = txn_id(place), self._harness
-        deadline = min(harness.now + TTL - MARGIN, harness.route.admission.answer_by)
+        deadline = min(harness.now + TTL - RESPONSE_MARGIN, harness.route.admission.latest_deadline)
         harness.observer.request_received(txn, cls, deadline + BACKSTOP)
         if self.session.finished:
             self.session = self._open_session()
--- a/edge_router/model_checker/model/harness.py
+++ b/edge_router/model_checker/model/harness.py
@@ -188,7 +188,7 @@
     def terminate(self) -> None:
         """The router receives SIGTERM."""
         self.term_at = self.t + SHUTDOWN_GRACE
-        self.route.admission.answer_by = self.now + SHUTDOWN_GRACE * 1000.0
+        self.route.admission.latest_deadline = self.now + SHUTDOWN_GRACE * 1000.0
 
     def expire(self) -> None:
         """The time that SIGTERM left is over."""
--- a/edge_router/model_checker/mutations/proxy.py
+++ b/edge_router/model_checker/mutations/proxy.py
@@ -4,7 +4,15 @@
 
 from edge_router.discovery import endpoint_table
 from edge_router.model_checker.mutations.common import Mutation
-from edge_router.proxy import accounting, admission, dispatch, request_router, request_table, response_handler
+from edge_router.proxy import (
+    accounting,
+    admission,
+    dispatch,
+    request_router,
+    request_table,
+    response_handler,
+    response_validation,
+)
 
 PROXY_MUTATIONS: tuple[Mutation, ...] = (
     Mutation(
@@ -29,25 +37,25 @@
         "wrong-copy-passed-on",
         response_handler.ResponseHandler,
         "on_response",
-        "(wrong := self._wrong(attempt, reply))",
-        "(wrong := '')",
+        "defect := self.validator.find_defect(attempt, response)",
+        "defect := None",
         ("purge",),
         "no-purged",
     ),
     Mutation(
         "age-of-class-forgotten",
-        response_handler.ResponseHandler,
-        "_oldest",
-        "attempt.instruction.max_age or cls.freshness_lifetime",
-        "0.0",
+        response_validation.ResponseValidator,
+        "_max_age",
+        "attempt.instruction.max_age or class_settings.freshness_lifetime or None",
+        "None",
         ("page",),
         "not-too-old",
     ),
     Mutation(
         "unknown-word-passed-on",
-        response_handler.ResponseHandler,
-        "validate_response",
-        "if reply.status not in OUTCOMES:",
+        response_validation.ResponseValidator,
+        "check_well_formed",
+        "if response.status not in OUTCOME_BY_STATUS:",
         "if False:",
         ("confirm",),
         "no-slip",
@@ -154,9 +162,9 @@
     ),
     Mutation(
         "older-copy-passed-on",
-        response_handler.ResponseHandler,
-        "_wrong",
-        "born < self._purges.newest_purge_time(asked.object_key, asked.purge_group, attempt.sent_at)",
+        response_validation.ResponseValidator,
+        "find_defect",
+        "created_at < purged_at",
         "False",
         ("purge",),
         "no-purged",
@@ -187,8 +195,8 @@
         "attempt_ended",
         "self.close_if_finished(request)",
         "self.close_if_finished(request)\n"
-        "    self._post(AttemptEnded(request.request_number, attempt.index, order.endpoint_id, outcome,"
-        " took, request.answered, note, waited, load))",
+        "    self._post(AttemptEnded(request.request_number, attempt.index, attempt.instruction.endpoint_id,"
+        " outcome, duration, request.answered, int(fill_result), fill_wait, load_report))",
         ("answers",),
         "ends-once",
     ),
@@ -196,8 +204,8 @@
         "first-byte-lost",
         response_handler.ResponseHandler,
         "on_response",
-        "FinalResponse(verdict, reply.body,",
-        "FinalResponse(verdict, reply.body[1:],",
+        "FinalResponse(status, response.body,",
+        "FinalResponse(status, response.body[1:],",
         ("answers",),
         "as-made",
     ),
@@ -259,8 +267,8 @@
         "no-margin-before-the-limit",
         admission.AdmissionController,
         "admit",
-        "asked.time_unread - MARGIN",
-        "asked.time_unread + MARGIN",
+        "incoming.time_unread - RESPONSE_MARGIN",
+        "incoming.time_unread + RESPONSE_MARGIN",
         ("deadline",),
         "in-time",
     ),
--- a/edge_router/model_checker/properties.py
+++ b/edge_router/model_checker/properties.py
@@ -13,7 +13,7 @@
 from edge_router.decision.messages import Endpoint, EndpointState, Outcome
 from edge_router.decision.settings import ClassSettings, DeduplicationScope, Idempotency
 from edge_router.model_checker.machine import Violation
-from edge_router.proxy.response_handler import SLACK
+from edge_router.proxy.response_validation import AGE_TOLERANCE
 
 
 class Property(NamedTuple):
@@ -349,11 +349,12 @@
         if cls.uncacheable:
             return
         for purge in self.purges[: copy.known_purges]:
-            if copy.born < purge.purged_at - SLACK - TOLERANCE:
+            if copy.born < purge.purged_at - AGE_TOLERANCE - TOLERANCE:
                 self._serves_purged(copy, purge)
         if (
             cls.freshness_lifetime
-            and copy.born < copy.sent_at - cls.freshness_lifetime - cls.stale_lifetime - SLACK - TOLERANCE
+            and copy.born
+            < copy.sent_at - cls.freshness_lifetime - cls.stale_lifetime - AGE_TOLERANCE - TOLERANCE
         ):
             self.violated("not-too-old", f"a copy {copy.sent_at - copy.born:.0f} ms old")
 
--- a/edge_router/model_checker/reach.py
+++ b/edge_router/model_checker/reach.py
@@ -24,7 +24,7 @@
 WALKS, WALK_STEPS = 3, 1500
 CORE = (
     "decision/policy.py",
-    "proxy/exchange.py",
+    "proxy/messages.py",
     "runtime/timers.py",
     "runtime/memory_budget.py",
     "discovery/endpoint_table.py",
@@ -32,6 +32,8 @@
     "proxy/admission.py",
     "proxy/accounting.py",
     "proxy/request_parser.py",
+    "proxy/cache_response.py",
+    "proxy/response_validation.py",
     "proxy/response_handler.py",
     "proxy/request_router.py",
     "proxy/dispatch.py",
@@ -68,15 +70,23 @@
     ),
     ("decision/policy.py", "_leave|_may_repeat|_copy_wanted", "cold budgets, no second copies, stale times"),
     ("decision/policy.py", "_on_end", "late events, which the stages never send"),
-    ("proxy/exchange.py", "__init__", "bad requests: tests/test_router.py"),
+    ("proxy/messages.py", "__init__", "bad requests: tests/test_router.py"),
     ("runtime/timers.py", "next_due|_make", "an alarm that raises; the seeded faults and tests play it"),
-    ("proxy/accounting.py", "ended", "the second line against a second end: every caller looks first"),
+    (
+        "proxy/accounting.py",
+        "attempt_ended",
+        "the second line against a second end: every caller looks first",
+    ),
     (
         "proxy/response_handler.py",
-        "answer",
+        "respond",
         "the second line against a second answer, in nocancel at its full depth",
     ),
-    ("proxy/response_handler.py", "spoilt|_wrong", "long bodies and wrong tags: tests/test_router.py"),
+    (
+        "proxy/response_validation.py",
+        "check_well_formed|find_defect|__str__",
+        "long bodies and wrong tags: tests/test_invalid_responses.py",
+    ),
     (
         "proxy/request_router.py",
         "asked",
--- a/edge_router/proxy/accounting.py
+++ b/edge_router/proxy/accounting.py
@@ -1,4 +1,4 @@
-"""Stage 6, book: ends each attempt once, closes requests, and counts."""
+"""Ends each attempt once, closes finished requests, and counts both for the statistics."""
 
 from __future__ import annotations
 
@@ -13,31 +13,37 @@
 from edge_router.runtime.clock import Clock
 from edge_router.runtime.event_log import log, log_rate_limited
 
-TOLD = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.TIMEOUT, Outcome.RESET, Outcome.ERROR)
+LOGGED_OUTCOMES = frozenset(
+    (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.TIMEOUT, Outcome.RESET, Outcome.ERROR)
+)
 
 
 class RequestAccounting:
-    """Tells the decisions of every end, exactly once."""
+    """Reports the end of each attempt to the decision module exactly once, and keeps the counters."""
 
     def __init__(
-        self, settings: Settings, clock: Clock, admit: AdmissionController, post: Callable[[Event], None]
+        self,
+        settings: Settings,
+        clock: Clock,
+        admission: AdmissionController,
+        post_event: Callable[[Event], None],
     ) -> None:
         self._clock = clock
-        self._admission = admit
-        self._post = post
+        self._admission = admission
+        self._post = post_event
         self.counts: Counter[str] = Counter()
         self.invariants = InvariantChecker(settings, self.counts)
-        self._max_queue_time = 0.0  # the longest that a request waited for its decision, in ms
+        self._max_queue_time = 0.0  # ms; the longest wait for a decision since the last statistics line
 
     def attempt_ended(
         self,
         attempt: Attempt,
         outcome: Outcome,
-        note: int = 0,
-        waited: float = 0.0,
-        load: tuple[float, ...] = (),
+        fill_result: FillResult = FillResult.NONE,
+        fill_wait: float = 0.0,
+        load_report: tuple[float, ...] = (),
     ) -> None:
-        """An attempt is over; late news of it is dropped."""
+        """Ends an attempt; does nothing if it has ended already. `fill_wait` is in ms."""
         if attempt.ended:
             return
         attempt.ended = True
@@ -45,52 +51,57 @@
         if attempt.timeout_timer is not None:
             attempt.timeout_timer.cancel()
         self.counts[outcome.name.lower()] += 1
-        if note:
-            self.counts[f"fill_{FillResult(note).name.lower()}"] += 1
-        request, order = attempt.request, attempt.instruction
-        took = self._clock.now() - (attempt.sent_at or attempt.created_at)
-        if outcome in TOLD:
-            log_rate_limited(
-                "attempt-failed",
-                request=request.incoming.request_id,
-                outcome=outcome.name.lower(),
-                endpoint=f"s-{order.endpoint_id:08x}",
-                source=f"s-{order.source_id:08x}",
-                class_name=request.incoming.class_name,
-                size_kb=request.incoming.size_kb,
-                fill_result=note,
-                duration_ms=took,
-                attempt=attempt.index,
-            )
+        if fill_result:
+            self.counts[f"fill_{fill_result.name.lower()}"] += 1
+        request = attempt.request
+        duration = self._clock.now() - (attempt.sent_at or attempt.created_at)
+        if outcome in LOGGED_OUTCOMES:
+            self._log_failure(attempt, outcome, fill_result, duration)
         self._post(
             AttemptEnded(
                 request.request_number,
                 attempt.index,
-                order.endpoint_id,
+                attempt.instruction.endpoint_id,
                 outcome,
-                took,
+                duration,
                 request.answered,
-                note,
-                waited,
-                load,
+                int(fill_result),
+                fill_wait,
+                load_report,
             )
         )
         self.close_if_finished(request)
 
+    @staticmethod
+    def _log_failure(attempt: Attempt, outcome: Outcome, fill_result: FillResult, duration: float) -> None:
+        incoming, instruction = attempt.request.incoming, attempt.instruction
+        log_rate_limited(
+            "attempt-failed",
+            request=incoming.request_id,
+            outcome=outcome.name.lower(),
+            endpoint=f"s-{instruction.endpoint_id:08x}",
+            source=f"s-{instruction.source_id:08x}",
+            class_name=incoming.class_name,
+            size_kb=incoming.size_kb,
+            fill_result=int(fill_result),
+            duration_ms=duration,
+            attempt=attempt.index,
+        )
+
     def close_if_finished(self, request: ActiveRequest) -> None:
-        """Forgets a request that is answered and has nothing out any more."""
+        """Releases a request that is answered and has no attempt in flight."""
         if request.answered and all(attempt.ended for attempt in request.attempts):
             if request.backstop_timer is not None:
                 request.backstop_timer.cancel()
             self.invariants.check_closed(request)
             self._admission.release(request)
 
-    def record_queue_time(self, time: float) -> None:
-        """A request has waited so long for its decision."""
-        self._max_queue_time = max(self._max_queue_time, time)
+    def record_queue_time(self, queue_time: float) -> None:
+        """Records for how long (ms) a request waited for its decision."""
+        self._max_queue_time = max(self._max_queue_time, queue_time)
 
-    def log_statistics(self, **more: object) -> None:
-        """Writes what was counted since the last line."""
-        log("stats", **more, max_queue_ms=self._max_queue_time, **dict(sorted(self.counts.items())))
+    def log_statistics(self, **other_figures: object) -> None:
+        """Logs the counters together with other figures, and resets the counters."""
+        log("stats", **other_figures, max_queue_ms=self._max_queue_time, **dict(sorted(self.counts.items())))
         self.counts.clear()
         self._max_queue_time = 0.0
--- a/edge_router/proxy/admission.py
+++ b/edge_router/proxy/admission.py
@@ -1,83 +1,103 @@
-"""Stage 2, admit: bounds what is held, and starts a request's clock."""
+"""Admission control: bounds the requests and bytes in flight and sheds load above the CPU share."""
 
 from __future__ import annotations
 
+import math
 import random
+from enum import StrEnum
 
 from edge_router.decision.settings import Settings
-from edge_router.proxy.exchange import IncomingRequest
+from edge_router.proxy.messages import MAX_OBJECT_BYTES, IncomingRequest
 from edge_router.proxy.request_table import ActiveRequest, RequestTable
 from edge_router.runtime.clock import CpuCredit
 from edge_router.runtime.memory_budget import MemoryBudget
 
-MARGIN = 15.0  # ms before the client's own limit at which the answer is due: it has to get there
-MOST_OPEN = 4096
-MOST_ANSWER = 240_000  # bytes of the longest object
-LONGEST = 60_000.0  # ms; a client may claim to wait for longer, but is not kept in memory for it
-PATIENCE = 0.4  # part of the wanted time that a request of the mean worth may wait for its decision
-LEAST_PATIENCE = 20.0  # ms of it at least; who has not waited for longer is not refused for our CPU either
-OVERDRAWN = 0.02  # seconds of CPU by which we are over our share when a request of the mean worth is refused
+RESPONSE_MARGIN = 15.0  # ms before the client's timeout at which the response is due, so that it arrives
+MIN_TIME_REMAINING = 1.0  # ms given to each admitted request
+MAX_OPEN_REQUESTS = 4096
+MAX_TIME_IN_MEMORY = 60_000.0  # ms; a client may wait for longer, but its request is not kept for longer
+QUEUE_TIME_RATIO = 0.4  # queue time allowed at the mean priority weight, as a part of the latency objective
+MIN_QUEUE_TIME = 20.0  # ms that each request may wait; below it nothing is shed for CPU either
+CPU_DEBT_AT_MEAN_PRIORITY = 0.02  # seconds of overdrawn CPU at which the mean priority weight is shed
+MAX_RELATIVE_PRIORITY = 2.0
+DEFAULT_BYTES_PER_KB = 1000.0
+
+
+class ShedReason(StrEnum):
+    """Why a request is shed; the values are part of the log and the statistics."""
+
+    QUEUE_TIME = "waited"
+    CPU = "cpu"
 
 
 class AdmissionController:
-    """Decides whether there is room for one request more."""
+    """Decides whether there is capacity for one more request."""
 
     def __init__(
-        self, settings: Settings, requests: RequestTable, budget: MemoryBudget, pace: float, seed: int
+        self,
+        settings: Settings,
+        requests: RequestTable,
+        budget: MemoryBudget,
+        transfer_rate: float,
+        seed: int,
     ) -> None:
-        """The pace is that of one transfer, in bytes a second; 0 if it is not told."""
+        """`transfer_rate` is that of one response in bytes per second; 0 if it is not known."""
         self.cpu_credit = CpuCredit()
         self._random = random.Random(seed)
         self._max_retry_after = settings.max_retry_after if settings.retry_after_allowed else 0.0
-        mean = sum(cls.priority_weight for cls in settings.classes) / max(1, len(settings.classes))
+        weights = [class_settings.priority_weight for class_settings in settings.classes]
+        mean = sum(weights) / max(1, len(weights))
         self._priority = [
-            min(2.0, cls.priority_weight / mean) if mean > 0 else 1.0 for cls in settings.classes
+            min(MAX_RELATIVE_PRIORITY, weight / mean) if mean > 0 else 1.0 for weight in weights
         ]
         self._max_queue_time = [
-            max(LEAST_PATIENCE, PATIENCE * priority * cls.latency_objective)
-            for priority, cls in zip(self._priority, settings.classes, strict=True)
+            max(MIN_QUEUE_TIME, QUEUE_TIME_RATIO * priority * class_settings.latency_objective)
+            for priority, class_settings in zip(self._priority, settings.classes, strict=True)
         ]
         self._requests = requests
         self._budget = budget
-        self._max_requests = min(settings.max_in_flight, MOST_OPEN)
+        self._max_requests = min(settings.max_in_flight, MAX_OPEN_REQUESTS)
         self._bytes_per_kb = (
-            pace / settings.client_bandwidth if settings.client_bandwidth > 0 and pace > 0 else 1000.0
+            transfer_rate / settings.client_bandwidth
+            if settings.client_bandwidth > 0 and transfer_rate > 0
+            else DEFAULT_BYTES_PER_KB
         )
-        self.answer_by = float("inf")  # once the router stops, all is answered by this Unix millisecond
+        self.latest_deadline = math.inf  # Unix ms by which every request is answered, set by a shutdown
 
-    def admit(self, now: float, asked: IncomingRequest) -> ActiveRequest | None:
-        """The request, now open; None if there is no room for it and its answer, or its time is over."""
-        if asked.time_unread >= asked.timeout:
+    def admit(self, now: float, incoming: IncomingRequest) -> ActiveRequest | None:
+        """Opens a request; None if its time is over or there is no capacity for it and its response."""
+        if incoming.time_unread >= incoming.timeout:
             return None
-        holds = len(asked.body) + min(MOST_ANSWER, round(asked.size_kb * self._bytes_per_kb))
-        if len(self._requests) >= self._max_requests or not self._budget.can_reserve(holds):
+        response_bytes = min(MAX_OBJECT_BYTES, round(incoming.size_kb * self._bytes_per_kb))
+        reserved_bytes = len(incoming.body) + response_bytes
+        if len(self._requests) >= self._max_requests or not self._budget.can_reserve(reserved_bytes):
             return None
-        self._budget.reserve(holds)
-        left = min(asked.timeout, LONGEST) - asked.time_unread - MARGIN
-        deadline = min(now + max(1.0, left), self.answer_by)
-        return self._requests.add(asked, deadline, holds)
+        self._budget.reserve(reserved_bytes)
+        time_remaining = min(incoming.timeout, MAX_TIME_IN_MEMORY) - incoming.time_unread - RESPONSE_MARGIN
+        deadline = min(now + max(MIN_TIME_REMAINING, time_remaining), self.latest_deadline)
+        return self._requests.add(incoming, deadline, reserved_bytes)
 
-    def shed_reason(self, now: float, since: float, kind: int) -> str:
-        """Why a request that came then is to be refused, as there is more to do than we can; else empty.
+    def shed_reason(self, now: float, received_at: float, class_index: int) -> ShedReason | None:
+        """Why a request received at `received_at` must be shed; None if it is to be forwarded.
 
-        Guards against all becoming late together: what is refused is refused early, and of less worth first.
-        While nobody waits, nobody is refused: a refusal costs a good part of a request, and its client comes
-        back at once.
+        Load is shed early and by priority weight, or all requests would become late together. Requests that
+        have hardly waited are never shed: a rejection costs a good part of a request, and the client
+        returns at once.
         """
-        waited = now - since
-        if waited > self._max_queue_time[kind]:
-            return "waited"
-        if waited <= LEAST_PATIENCE:
-            return ""
-        left = self.cpu_credit.remaining()
-        over = left < 0 and left <= -OVERDRAWN * (self._priority[kind] - min(self._priority))
-        return "cpu" if over else ""
+        queue_time = now - received_at
+        if queue_time > self._max_queue_time[class_index]:
+            return ShedReason.QUEUE_TIME
+        if queue_time <= MIN_QUEUE_TIME:
+            return None
+        credit = self.cpu_credit.remaining()
+        tolerated_debt = CPU_DEBT_AT_MEAN_PRIORITY * (self._priority[class_index] - min(self._priority))
+        return ShedReason.CPU if credit < 0 and credit <= -tolerated_debt else None
 
     def retry_after(self) -> float:
-        """For how long a client that we refuse should stay away; spread, or all come back together."""
+        """For how long (ms) a rejected client should wait; random, so that clients do not return together."""
         return self._max_retry_after * self._random.uniform(0.5, 1.0)
 
     def release(self, request: ActiveRequest) -> None:
-        """The request is over. Guards against giving back twice what was set aside once."""
+        """Closes a request and returns its memory; a second call does nothing."""
         if self._requests.remove(request.request_number):
             self._budget.release(request.reserved_bytes)
--- a/edge_router/proxy/dispatch.py
+++ b/edge_router/proxy/dispatch.py
@@ -13,8 +13,9 @@
 from edge_router.discovery.endpoint_table import EndpointTable
 from edge_router.protocol import resp
 from edge_router.proxy.accounting import RequestAccounting
+from edge_router.proxy.cache_response import CacheResponse
 from edge_router.proxy.request_table import Attempt
-from edge_router.proxy.response_handler import CacheResponse, ResponseHandler
+from edge_router.proxy.response_handler import ResponseHandler
 from edge_router.runtime.clock import Clock
 from edge_router.runtime.event_log import log_rate_limited
 from edge_router.runtime.timers import Timers
@@ -330,8 +331,7 @@
             if txn in link.abandoned_ids:
                 link.last_received_at = self._clock.now()
             return
-        if why := self._response_handler.validate_response(attempt, reply):
-            raise resp.RespError(why)
+        self._response_handler.validator.check_well_formed(attempt, reply)
         link.last_received_at = link.last_used_at = self._clock.now()
         link.answered_ids.append(txn)
         self._unlink(attempt)
--- a/edge_router/proxy/fastcgi_frontend.py
+++ b/edge_router/proxy/fastcgi_frontend.py
@@ -1,109 +1,127 @@
-"""The FastCGI front: turns its requests into the stages' and the stages' answers into CGI responses."""
+"""The FastCGI frontend: converts FastCGI requests to the proxy's messages, and its responses to CGI."""
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from functools import lru_cache, partial
+from http import HTTPStatus
 
 from edge_router.decision.settings import Settings
 from edge_router.protocol.fastcgi import COMPLETE
-from edge_router.proxy.exchange import BadRequestError, FinalResponse, ResponseStatus
+from edge_router.proxy.messages import BadRequestError, FinalResponse, ResponseStatus
 from edge_router.proxy.request_parser import RequestParser
 from edge_router.proxy.request_router import RequestRouter
 from edge_router.proxy.request_table import ActiveRequest
 from edge_router.runtime.event_log import log_rate_limited
 from edge_router.transport.client_session import ClientSession
 
-READY_PATH = "/status/live"
-_LINES = {
-    ResponseStatus.SERVED: "200 OK",
-    ResponseStatus.NOT_MODIFIED: "200 OK",
-    ResponseStatus.REJECTED: "503 Service Unavailable",
+READY_PATH = "/status/live"  # polled until the router is ready for requests
+
+_HEADER_PREFIX = "HTTP_"  # CGI's prefix of the parameters that are header fields
+_CACHED_NAMES = 256
+_SERVED = "200 OK"
+_UNAVAILABLE = "503 Service Unavailable"
+_STATUS_LINES = {
+    ResponseStatus.SERVED: _SERVED,
+    ResponseStatus.NOT_MODIFIED: _SERVED,
+    ResponseStatus.REJECTED: _UNAVAILABLE,
     ResponseStatus.FAILED: "502 Bad Gateway",
 }
-_REASONS = {400: "Bad Request", 404: "Not Found", 408: "Request Timeout", 413: "Content Too Large"}
+_ERROR_STATUS_LINES = {
+    HTTPStatus.BAD_REQUEST: "400 Bad Request",
+    HTTPStatus.NOT_FOUND: "404 Not Found",
+    HTTPStatus.REQUEST_TIMEOUT: "408 Request Timeout",
+    HTTPStatus.REQUEST_ENTITY_TOO_LARGE: "413 Content Too Large",
+}
 
 
-def _head(status: str, **fields: object) -> bytes:
-    lines = [f"Status: {status}", *(f"{name.replace('_', '-')}: {value}" for name, value in fields.items())]
+def _encode_head(status_line: str, fields: Mapping[str, object]) -> bytes:
+    """The head of a CGI response, with the empty line that ends it."""
+    lines = [f"Status: {status_line}", *(f"{name}: {value}" for name, value in fields.items())]
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
 
 
-def head_of(answer: FinalResponse) -> bytes:
-    """The CGI header of an answer."""
-    fields: dict[str, object] = {"Content_Type": "application/octet-stream"}
-    fields["Content_Length"] = len(answer.body)
-    if answer.status is ResponseStatus.NOT_MODIFIED:
-        fields["X_Notmod"] = 1
-    if answer.status is ResponseStatus.REJECTED:
-        fields["X_Throttle_Ms"] = max(0, round(answer.retry_after))
-    if answer.etag:
-        fields["X_Etag"] = answer.etag
-    return _head(_LINES[answer.status], **fields)
+def encode_response_head(response: FinalResponse) -> bytes:
+    """The head of the CGI response; PROTOCOL, "Clients to edge routers"."""
+    fields: dict[str, object] = {
+        "Content-Type": "application/octet-stream",
+        "Content-Length": len(response.body),
+    }
+    if response.status is ResponseStatus.NOT_MODIFIED:
+        fields["X-Notmod"] = 1
+    if response.status is ResponseStatus.REJECTED:
+        fields["X-Throttle-Ms"] = max(0, round(response.retry_after))
+    if response.etag is not None:
+        fields["X-Etag"] = response.etag
+    return _encode_head(_STATUS_LINES[response.status], fields)
 
 
-@lru_cache(256)
-def _name(name: str) -> str:
-    """The field that CGI calls so; empty if it is none."""
-    return "-".join(word.capitalize() for word in name[5:].split("_")) if name.startswith("HTTP_") else ""
+@lru_cache(_CACHED_NAMES)
+def _field_name(parameter: str) -> str | None:
+    """The name of the header field in a CGI parameter; None if it holds none."""
+    if not parameter.startswith(_HEADER_PREFIX):
+        return None
+    return "-".join(word.capitalize() for word in parameter.removeprefix(_HEADER_PREFIX).split("_"))
 
 
-def fields_of(params: dict[str, str]) -> dict[str, str]:
-    """The header fields among CGI's parameters, named as on the page: HTTP_X_TXN is X-Txn."""
-    return {field: value for name, value in params.items() if (field := _name(name))}
+def header_fields(params: Mapping[str, str]) -> dict[str, str]:
+    """The header fields among CGI parameters, by the names of the protocol: HTTP_X_TXN is X-Txn."""
+    return {name: value for parameter, value in params.items() if (name := _field_name(parameter))}
 
 
 class FastCgiFrontend:
-    """Takes the requests of all client connections."""
+    """Serves the requests of all client sessions."""
 
-    def __init__(self, settings: Settings, route: RequestRouter) -> None:
+    def __init__(self, settings: Settings, router: RequestRouter) -> None:
         self._parser = RequestParser(settings)
-        self._router = route
+        self._router = router
         self._open: dict[tuple[ClientSession, int], ActiveRequest] = {}
-        self.ready = False
+        self.ready = False  # whether READY_PATH is answered with status 200
 
     def on_request(
         self, connection: ClientSession, ident: int, params: dict[str, str], body: bytes, bad: str
     ) -> bool:
-        """A request has come in; says whether it could be taken."""
+        """Handles a request, complete or refused by the decoder; False if it is answered as invalid."""
         path = params.get("SCRIPT_NAME", "") + params.get("PATH_INFO", "")
         if path == READY_PATH and not bad:
-            connection.send_response(ident, _head("200 OK" if self.ready else "503 Service Unavailable"), b"")
+            connection.send_response(ident, _encode_head(_SERVED if self.ready else _UNAVAILABLE, {}), b"")
             return True
         try:
             if bad:
                 raise BadRequestError(413 if "too long" in bad else 408 if "in time" in bad else 400, bad)
             if params.get("CONTENT_LENGTH", "") not in ("", str(len(body))):
-                raise BadRequestError(400, "CONTENT_LENGTH is not that of the body")
-            asked = self._parser.parse(path, fields_of(params), body, partial(self._reply, connection, ident))
-            asked.time_unread, asked.poll_client = connection.time_unread, connection.poll_input
-            if self._router.requests.is_unanswered(asked.request_id):
-                raise BadRequestError(400, "X-Txn is that of an open request")
+                raise BadRequestError(HTTPStatus.BAD_REQUEST, "CONTENT_LENGTH is not that of the body")
+            respond = partial(self._respond, connection, ident)
+            incoming = self._parser.parse(path, header_fields(params), body, respond)
+            incoming.time_unread = connection.time_unread
+            incoming.poll_client = connection.poll_input
+            if self._router.requests.is_unanswered(incoming.request_id):
+                raise BadRequestError(HTTPStatus.BAD_REQUEST, "X-Txn is that of an open request")
         except BadRequestError as error:
-            log_rate_limited("bad-request", status=error.status, reason=str(error))
-            connection.send_response(
-                ident, _head(f"{error.status} {_REASONS[error.status]}", Content_Length=0), b""
-            )
+            log_rate_limited("bad-request", status=error.status.value, reason=str(error))
+            head = _encode_head(_ERROR_STATUS_LINES[error.status], {"Content-Length": 0})
+            connection.send_response(ident, head, b"")
             return False
-        request = self._router.on_request(asked)
+        request = self._router.on_request(incoming)
         if request is not None and not request.answered:
             self._open[connection, ident] = request
         return True
 
-    def _reply(self, connection: ClientSession, ident: int, answer: FinalResponse) -> None:
+    def _respond(self, connection: ClientSession, ident: int, response: FinalResponse) -> None:
         self._open.pop((connection, ident), None)
-        connection.send_response(ident, head_of(answer), answer.body)
+        connection.send_response(ident, encode_response_head(response), response.body)
 
     def on_aborted(self, connection: ClientSession, ident: int) -> None:
-        """The client no longer waits: its id is free again once the end is written."""
+        """The client has aborted a request; the session frees its id once END_REQUEST is written."""
         request = self._open.pop((connection, ident), None)
         if request is not None:
             self._router.on_client_disconnected(request)
             connection.end_request(ident, COMPLETE)
 
     def on_disconnected(self, connection: ClientSession, ident: int) -> None:
-        """The client sends no more. Nothing new goes out for it; if it still reads, it is owed an answer."""
+        """The client has closed its side: no further attempt is sent, but it may still read a response."""
         request = self._open.pop((connection, ident), None)
         if request is not None:
-            answer = self._router.response_without_decision(request)
+            response = self._router.response_without_decision(request)
             self._router.on_client_disconnected(request)
-            connection.send_response(ident, head_of(answer), answer.body)
+            connection.send_response(ident, encode_response_head(response), response.body)
--- /dev/null
+++ b/edge_router/proxy/messages.py
@@ -0,0 +1,70 @@
+"""Messages between the parts of the proxy: requests, final responses, and the error of an invalid request.
+
+They do not depend on the protocol by which a request arrived.
+"""
+
+from __future__ import annotations
+
+import re
+from collections.abc import Callable
+from dataclasses import dataclass
+from enum import Enum
+from http import HTTPStatus
+
+MAX_OBJECT_BYTES = 240_000  # longest object, in bytes; PROTOCOL, "Clients to edge routers"
+
+# Entity tags that can be forwarded: a comma or a blank would end the field in the list sent to a cache.
+ETAG_PATTERN = re.compile(r"[0-9A-Za-z._-]{1,64}")
+
+
+class ResponseStatus(Enum):
+    """Result of a request as the client sees it."""
+
+    SERVED = "served"
+    NOT_MODIFIED = "not_modified"  # the client's own copy is current
+    REJECTED = "rejected"  # not executed: the client may retry
+    FAILED = "failed"
+
+
+@dataclass(frozen=True, slots=True)
+class FinalResponse:
+    """The one final response to a request."""
+
+    status: ResponseStatus
+    body: bytes = b""
+    etag: str | None = None
+    retry_after: float = 0.0  # ms for which a rejected client should wait
+
+
+def no_client_input() -> None:
+    """Reads nothing: the default for requests without a client connection to poll."""
+
+
+@dataclass(slots=True, eq=False)
+class IncomingRequest:
+    """A validated request. Its text fields are forwarded to caches unchanged."""
+
+    request_id: str
+    class_name: str
+    object_id: str
+    segment_text: str
+    class_index: int
+    object_key: int
+    segment: int
+    purge_group: int
+    size_kb: float
+    timeout: float  # ms that the client waits, counted from when it sent the request
+    client_etag: str | None  # tag of the copy that the client holds
+    body: bytes
+    respond: Callable[[FinalResponse], None]
+    time_unread: float = 0.0  # ms for which the request may have waited to be read
+    poll_client: Callable[[], None] = no_client_input  # processes what the client has sent since
+    idempotency_key: str | None = None
+
+
+class BadRequestError(Exception):
+    """A request that is invalid, with the HTTP status to answer it with."""
+
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
+        self.status = HTTPStatus(status)
--- a/edge_router/proxy/request_parser.py
+++ b/edge_router/proxy/request_parser.py
@@ -1,90 +1,110 @@
-"""Stage 1, take in: makes a checked request of the fields that a front has read."""
+"""Validates the fields of a client's request; PROTOCOL, "Clients to edge routers"."""
 
 from __future__ import annotations
 
 import re
 from collections.abc import Callable, Mapping
+from http import HTTPStatus
 
 from edge_router.decision.settings import Idempotency, Settings
-from edge_router.proxy.exchange import BadRequestError, FinalResponse, IncomingRequest
-
-PATH = "/svc/"
-MOST_PART = 65_535
-MOST_GROUP = 255
-MOST_KB = 1e7
-LONGEST = 3_600_000.0  # ms that a client may claim to wait
-_HEX = re.compile(r"[0-9a-fA-F]{16}")
-_WHOLE = re.compile(r"[0-9]{1,9}")
-_NUMBER = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?")
-_TAG = re.compile(r"[0-9A-Za-z._-]{1,64}")
-_TOKEN = re.compile(r"[!-+\--~]{1,128}")  # what a field list can carry: printable, without blanks and commas
-
-
-def _field(fields: Mapping[str, str], name: str, form: re.Pattern[str], default: str | None = None) -> str:
-    """A field's text. Guards against text that would break out of the list of fields sent to a cache."""
+from edge_router.proxy.messages import ETAG_PATTERN, BadRequestError, FinalResponse, IncomingRequest
+
+PATH_PREFIX = "/svc/"
+MAX_SEGMENT = 65_535
+MAX_PURGE_GROUP = 255
+MAX_SIZE_KB = 1e7
+MAX_TIMEOUT = 3_600_000.0  # ms
+
+# Names of the request fields.
+REQUEST_ID = "X-Txn"
+TIMEOUT = "X-Ttl-Ms"
+OBJECT_ID = "X-Row"
+SEGMENT = "X-Seg"
+PURGE_GROUP = "X-Bucket"
+SIZE_KB = "X-Working-Set-Kb"
+CLIENT_ETAG = "X-Etag"
+IDEMPOTENCY_KEY = "X-Txn-Key"
+
+# Texts are forwarded in a list of fields, so no pattern admits a comma, a blank or a control character.
+_HEX_ID = re.compile(r"[0-9a-fA-F]{16}")
+_INTEGER = re.compile(r"[0-9]{1,9}")
+_DECIMAL = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?")
+_TOKEN = re.compile(r"[!-+\--~]{1,128}")
+
+
+def _text(fields: Mapping[str, str], name: str, pattern: re.Pattern[str], default: str | None = None) -> str:
+    """A field's text; raises BadRequestError if it is missing or does not match."""
     text = fields.get(name, default)
     if text is None:
-        raise BadRequestError(400, f"{name} is missing")
-    if not form.fullmatch(text):
-        raise BadRequestError(400, f"{name} can't be read")
+        raise BadRequestError(HTTPStatus.BAD_REQUEST, f"{name} is missing")
+    if not pattern.fullmatch(text):
+        raise BadRequestError(HTTPStatus.BAD_REQUEST, f"{name} can't be read")
     return text
 
 
-def _figure(
-    fields: Mapping[str, str], name: str, form: re.Pattern[str], most: float, default: str | None = None
+def _number(
+    fields: Mapping[str, str],
+    name: str,
+    pattern: re.Pattern[str],
+    maximum: float,
+    default: str | None = None,
 ) -> float:
-    """A field's figure. Guards against one out of range, which no cache can use."""
-    value = float(_field(fields, name, form, default))
-    if value > most:
-        raise BadRequestError(400, f"{name} is out of range")
+    """A field's number; raises BadRequestError if it is missing, does not match, or is above the maximum."""
+    value = float(_text(fields, name, pattern, default))
+    if value > maximum:
+        raise BadRequestError(HTTPStatus.BAD_REQUEST, f"{name} is out of range")
     return value
 
 
-def _bare(tag: str) -> str:
-    """A client's tag without the quotes and the weak mark; empty if it can't be passed on."""
-    bare = tag.strip().removeprefix("W/").strip('"')
-    return bare if _TAG.fullmatch(bare) else ""
+def _bare_etag(text: str) -> str | None:
+    """A client's tag without its quotes and the weak prefix; None if it can't be forwarded."""
+    etag = text.strip().removeprefix("W/").strip('"')
+    return etag if ETAG_PATTERN.fullmatch(etag) else None
 
 
 class RequestParser:
-    """Checks requests against the settings."""
+    """Validates requests against the classes of the settings."""
 
     def __init__(self, settings: Settings) -> None:
-        self._kinds = {cls.name: place for place, cls in enumerate(settings.classes)}
-        self._keyed = {
-            place for place, cls in enumerate(settings.classes) if cls.idempotency is Idempotency.WITH_KEY
+        self._class_indexes = {
+            class_settings.name: index for index, class_settings in enumerate(settings.classes)
+        }
+        self._classes_with_key = {
+            index
+            for index, class_settings in enumerate(settings.classes)
+            if class_settings.idempotency is Idempotency.WITH_KEY
         }
 
     def parse(
-        self, path: str, fields: Mapping[str, str], body: bytes, reply: Callable[[FinalResponse], None]
+        self, path: str, fields: Mapping[str, str], body: bytes, respond: Callable[[FinalResponse], None]
     ) -> IncomingRequest:
-        """The request that these fields make; raises BadRequestError."""
-        cls = path.removeprefix(PATH)
-        if not path.startswith(PATH) or cls not in self._kinds:
-            raise BadRequestError(404, "no such class")
-        item = _field(fields, "X-Row", _HEX)
-        part = _figure(fields, "X-Seg", _WHOLE, MOST_PART, "0")
-        ttl = _figure(fields, "X-Ttl-Ms", _NUMBER, LONGEST)
-        if ttl <= 0:
-            raise BadRequestError(400, "X-Ttl-Ms is 0")
-        kind = self._kinds[cls]
-        key = ""
-        if "X-Txn-Key" in fields or kind in self._keyed:
-            # Guards against repeating what no cache can tell for a repeat.
-            key = _field(fields, "X-Txn-Key", _TOKEN)
+        """The request made by a path, fields and a body; raises BadRequestError if it is invalid."""
+        class_name = path.removeprefix(PATH_PREFIX)
+        class_index = self._class_indexes.get(class_name)
+        if not path.startswith(PATH_PREFIX) or class_index is None:
+            raise BadRequestError(HTTPStatus.NOT_FOUND, "no such class")
+        object_id = _text(fields, OBJECT_ID, _HEX_ID)
+        segment = _number(fields, SEGMENT, _INTEGER, MAX_SEGMENT, "0")
+        timeout = _number(fields, TIMEOUT, _DECIMAL, MAX_TIMEOUT)
+        if timeout <= 0:
+            raise BadRequestError(HTTPStatus.BAD_REQUEST, f"{TIMEOUT} is 0")
+        idempotency_key = None
+        if IDEMPOTENCY_KEY in fields or class_index in self._classes_with_key:
+            # Required here because caches recognize a retry by the key alone.
+            idempotency_key = _text(fields, IDEMPOTENCY_KEY, _TOKEN)
         return IncomingRequest(
-            request_id=_field(fields, "X-Txn", _HEX),
-            class_name=cls,
-            object_id=item,
-            segment_text=fields.get("X-Seg", "0"),
-            class_index=kind,
-            object_key=int(item, 16),
-            segment=int(part),
-            purge_group=int(_figure(fields, "X-Bucket", _WHOLE, MOST_GROUP, "0")),
-            size_kb=_figure(fields, "X-Working-Set-Kb", _NUMBER, MOST_KB, "0"),
-            timeout=ttl,
-            client_etag=_bare(fields.get("X-Etag", "")),
+            request_id=_text(fields, REQUEST_ID, _HEX_ID),
+            class_name=class_name,
+            object_id=object_id,
+            segment_text=fields.get(SEGMENT, "0"),
+            class_index=class_index,
+            object_key=int(object_id, 16),
+            segment=int(segment),
+            purge_group=int(_number(fields, PURGE_GROUP, _INTEGER, MAX_PURGE_GROUP, "0")),
+            size_kb=_number(fields, SIZE_KB, _DECIMAL, MAX_SIZE_KB, "0"),
+            timeout=timeout,
+            client_etag=_bare_etag(fields.get(CLIENT_ETAG, "")),
             body=body,
-            respond=reply,
-            idempotency_key=key,
+            respond=respond,
+            idempotency_key=idempotency_key,
         )
--- a/edge_router/proxy/request_router.py
+++ b/edge_router/proxy/request_router.py
@@ -34,7 +34,7 @@
 from edge_router.proxy.accounting import RequestAccounting
 from edge_router.proxy.admission import AdmissionController
 from edge_router.proxy.dispatch import AttemptDispatcher, Connect
-from edge_router.proxy.exchange import FinalResponse, IncomingRequest, ResponseStatus
+from edge_router.proxy.messages import FinalResponse, IncomingRequest, ResponseStatus
 from edge_router.proxy.request_table import ActiveRequest, Attempt, RequestTable
 from edge_router.proxy.response_handler import ResponseHandler
 from edge_router.runtime.clock import Clock
--- a/edge_router/proxy/request_table.py
+++ b/edge_router/proxy/request_table.py
@@ -7,7 +7,7 @@
 
 from edge_router.decision.messages import Outcome, StartAttempt
 from edge_router.decision.rules import PROVES_NOT_RUN
-from edge_router.proxy.exchange import IncomingRequest
+from edge_router.proxy.messages import IncomingRequest
 from edge_router.runtime.timers import TimerHandle
 
 
--- a/edge_router/server/server.py
+++ b/edge_router/server/server.py
@@ -209,7 +209,7 @@
         """Goes on accepting for the grace, finishes what was taken, and ends well before SIGKILL."""
         end = self._stop_by
         self._front.ready = False
-        self._route.admission.answer_by = self._clock.now() + (end - trio.current_time()) * 1000.0
+        self._route.admission.latest_deadline = self._clock.now() + (end - trio.current_time()) * 1000.0
         await trio.sleep_until(end - self._last_answer + min(GRACE, self._last_answer))
         # Guards against requests that are lost with their connections, as those wait to be accepted.
         while trio.current_time() < end and _waits_to_be_accepted(listener):
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -7,7 +7,7 @@
 from socket_requests import is_rejection
 
 from edge_router.config.settings_reader import settings_from_json
-from edge_router.proxy.admission import AdmissionController
+from edge_router.proxy.admission import AdmissionController, ShedReason
 from edge_router.proxy.request_table import RequestTable
 from edge_router.runtime.memory_budget import MemoryBudget
 
@@ -85,13 +85,13 @@
     admit.cpu_credit.set_share(1e-9)
     assert admit.cpu_credit.remaining() < 0
     assert [admit.shed_reason(1000.0 + waited, 1000.0, 0) for waited in (0.0, 20.0, 30.0, 400.0)] == [
-        "",
-        "",
-        "cpu",
-        "waited",
+        None,
+        None,
+        ShedReason.CPU,
+        ShedReason.QUEUE_TIME,
     ]
     admit.cpu_credit.set_share(1.0)
-    assert admit.shed_reason(1030.0, 1000.0, 0) == ""
+    assert admit.shed_reason(1030.0, 1000.0, 0) is None
 
 
 @pytest.mark.parametrize("waited, refused", [(10.0, []), (50.0, [0]), (100.0, [0, 1]), (9000.0, [0, 1, 2])])
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -13,7 +13,7 @@
 from edge_router.config.settings_reader import settings_from_json
 from edge_router.decision.messages import Endpoint, EndpointState, UpdateKind
 from edge_router.discovery.events import EndpointAddress, EndpointsChanged
-from edge_router.proxy.exchange import FinalResponse, IncomingRequest, ResponseStatus
+from edge_router.proxy.messages import FinalResponse, IncomingRequest, ResponseStatus
 from edge_router.proxy.request_router import RequestRouter
 from edge_router.runtime.clock import Clock
 from edge_router.runtime.memory_budget import MemoryBudget
@@ -80,7 +80,7 @@
                 17,
                 4.5,
                 3000.0,
-                "",
+                None,
                 b"",
                 client.reply,
             )
--- a/tests/test_statistics.py
+++ b/tests/test_statistics.py
@@ -5,7 +5,7 @@
 from router_harness import SETTINGS
 
 from edge_router.config.settings_reader import settings_from_json
-from edge_router.proxy import exchange
+from edge_router.proxy.messages import FinalResponse, IncomingRequest, ResponseStatus
 from edge_router.proxy.request_router import RequestRouter
 from edge_router.runtime.clock import Clock
 from edge_router.runtime.event_log import set_sink
@@ -16,14 +16,14 @@
 
 def test_statistics_line_counts_rejections_by_reason() -> None:
     lines: list[tuple[str, dict[str, object]]] = []
-    clock, responses = Clock(lambda: 1000.0, lambda: 1000.0), list[exchange.FinalResponse]()
+    clock, responses = Clock(lambda: 1000.0, lambda: 1000.0), list[FinalResponse]()
     budget = MemoryBudget()
     budget.limit = 1e9
     route = RequestRouter(
         settings_from_json(SETTINGS), 7, clock, Timers(clock, lambda: 0.0), budget, 0.0, fail_on_connect
     )
     route.on_request(
-        exchange.IncomingRequest(
+        IncomingRequest(
             "9b1f03aa5c7e2d41",
             "image",
             "7f3a9c21e0b4d655",
@@ -34,7 +34,7 @@
             17,
             4.5,
             3000.0,
-            "",
+            None,
             b"",
             responses.append,
         )
@@ -45,7 +45,7 @@
         route.accounting.log_statistics(**route.statistics())
     finally:
         set_sink(None)
-    assert [response.status for response in responses] == [exchange.ResponseStatus.REJECTED]
+    assert [response.status for response in responses] == [ResponseStatus.REJECTED]
     assert [(event, fields["rejected_no_cache"]) for event, fields in lines] == [("stats", 1)]
 
 
