--- a/edge_router/model_checker/fingerprint/proxy.py
+++ b/edge_router/model_checker/fingerprint/proxy.py
@@ -17,7 +17,7 @@
     Ledger,
     rounded,
 )
-from edge_router.proxy import admission, request_table, response_handler
+from edge_router.proxy import admission, request_table, response_handler, response_validation
 from edge_router.proxy.accounting import RequestAccounting
 from edge_router.proxy.connection_pool import ConnectionPool
 from edge_router.proxy.discovery_updates import DiscoveryUpdates
@@ -53,7 +53,7 @@
         },
     ),
     admission.AdmissionController: Fields(
-        "cpu_credit answer_by",
+        "cpu_credit latest_deadline",
         {
             "_random": "always the middle here",
             "_max_retry_after": FIXED,
@@ -79,13 +79,16 @@
     response_handler.ResponseHandler: Fields(
         "",
         {
-            "_settings": FIXED,
+            "_load_report_fields": FIXED,
             "_accounting": WIRING,
             "_clock": WIRING,
             "_peer_clock": WIRING,
-            "_purges": WIRING,
+            "validator": WIRING,
         },
     ),
+    response_validation.ResponseValidator: Fields(
+        "", {"_settings": FIXED, "_peer_clock": WIRING, "_purges": WIRING}
+    ),
     purge_history.PurgeHistory: Fields("_purges", {"_retention": FIXED, "_next_sweep": DERIVED}),
     DiscoveryUpdates: Fields(
         "",
@@ -146,7 +149,7 @@
     """The stages and the tables, in a form that can be sorted and compared."""
     return (
         getattr(route.admission.cpu_credit, "saved", 0.0),
-        frame.time(route.admission.answer_by),
+        frame.time(route.admission.latest_deadline),
         _members(route, frame),
         _purges(route, frame),
         tuple(sorted(_request(request, frame) for request in route.requests)),
--- a/edge_router/proxy/dispatcher.py
+++ b/edge_router/proxy/dispatcher.py
@@ -9,10 +9,11 @@
 from edge_router.discovery.endpoint_table import EndpointTable
 from edge_router.protocol import resp
 from edge_router.proxy.accounting import RequestAccounting
+from edge_router.proxy.cache_response import CacheResponse
 from edge_router.proxy.connection_pool import ConnectionPool
 from edge_router.proxy.fetch_command import AbortCommand, FetchCommand, encode_fetch
 from edge_router.proxy.request_table import Attempt
-from edge_router.proxy.response_handler import CacheResponse, ResponseHandler
+from edge_router.proxy.response_handler import ResponseHandler
 from edge_router.proxy.upstream_connections import UpstreamConnection
 from edge_router.runtime.clock import Clock
 from edge_router.runtime.event_log import log_rate_limited
@@ -176,8 +177,7 @@
             if request_id in connection.abandoned_ids:
                 connection.last_received_at = self._clock.now()
             return
-        if reason := self._response_handler.validate_response(attempt, response):
-            raise resp.RespError(reason)
+        self._response_handler.validator.check_well_formed(attempt, response)
         connection.last_received_at = connection.last_used_at = self._clock.now()
         connection.answered_ids.append(request_id)
         self._detach(attempt)
--- a/edge_router/proxy/request_router.py
+++ b/edge_router/proxy/request_router.py
@@ -33,7 +33,7 @@
 from edge_router.proxy.connection_pool import Connect, ConnectionPool
 from edge_router.proxy.discovery_updates import DiscoveryUpdates
 from edge_router.proxy.dispatcher import AttemptDispatcher
-from edge_router.proxy.exchange import FinalResponse, IncomingRequest, ResponseStatus
+from edge_router.proxy.messages import FinalResponse, IncomingRequest, ResponseStatus
 from edge_router.proxy.request_table import ActiveRequest, Attempt, RequestTable
 from edge_router.proxy.response_handler import ResponseHandler
 from edge_router.runtime.clock import Clock
--- a/edge_router/server/graceful_shutdown.py
+++ b/edge_router/server/graceful_shutdown.py
@@ -70,7 +70,7 @@
         assert self._end is not None, "start() comes first"
         end = self._end
         self._frontend.ready = False
-        self._router.admission.answer_by = self._clock.now() + (end - trio.current_time()) * 1000.0
+        self._router.admission.latest_deadline = self._clock.now() + (end - trio.current_time()) * 1000.0
         await trio.sleep_until(end - self._time_limit + min(ACCEPT_GRACE_PERIOD, self._time_limit))
         await self._close_listener(listener, end)
         while trio.current_time() < end and not self._is_complete():
