--- a/edge_router/model_checker/reach.py
+++ b/edge_router/model_checker/reach.py
@@ -65,14 +65,18 @@
     (
         "decision/policy.py",
         "present|fits",
-        "a cold budget that is used up takes more requests than a scope has",
+        "a slow-start budget that is used up takes more requests than a scope has",
     ),
     (
         "decision/policy.py",
-        "_on_list|_on_request|Director.__init__|handle",
-        "polled lists and unknown classes, which only the simulator has",
+        "_on_list|_on_request|RoutingPolicy.__init__|handle",
+        "polled endpoint lists and unknown classes, which only the simulator has",
+    ),
+    (
+        "decision/policy.py",
+        "_leave|_may_repeat|_copy_wanted",
+        "slow-start budgets, no hedged requests, stale lifetimes",
     ),
-    ("decision/policy.py", "_leave|_may_repeat|_copy_wanted", "cold budgets, no second copies, stale times"),
     ("decision/policy.py", "_on_end", "late events, which the stages never send"),
     ("proxy/messages.py", "__init__", "bad requests: tests/test_router.py"),
     (
@@ -106,14 +110,14 @@
         "_on_backstop|_start_attempt",
         "the last line: the module answers first; SIGTERM at full depth",
     ),
-    ("proxy/request_router.py", "expire", "the scope stopped at its full depth"),
+    ("proxy/request_router.py", "expire_all", "the scope stopped at its full depth"),
     (
         "proxy/dispatcher.py",
         "_place|on_response|on_connection_lost",
         "full connections, short arrays: tests/test_router.py",
     ),
     ("proxy/upstream_connections.py", "accepts", "full connections: tests/test_router.py"),
-    ("discovery/change_log.py", "take", "empty frames and unknown kinds: tests/test_router.py"),
+    ("discovery/change_log.py", "process", "empty frames and unknown kinds: tests/test_router.py"),
     (
         "transport/upstream_channel.py",
         "_pump",
@@ -126,12 +130,12 @@
     ),
     (
         "discovery/change_log.py",
-        "member_from|_place|known_events|_accept_gap|frames|_members|_frame",
+        "endpoint_from_json|_place|initial_events|_accept_gap|frames|_members|_event",
         "the JSON of the start, and broken frames: tests/test_router.py",
     ),
     (
         "transport/client_session.py",
-        "check|idle|quiet|_leave|received|_owe",
+        "check_timeouts|is_idle|is_quiet|_leave|on_received|_owe",
         "slow and bad clients: tests/test_router.py",
     ),
     ("proxy/fastcgi_frontend.py", "", "bad requests and /status/live: tests/test_router.py"),
@@ -144,7 +148,7 @@
         "",
         "a whole core is never overdrawn by waiting in the scopes; the load day plays it",
     ),
-    ("", "__len__|line|stats", "counts for people alone"),
+    ("", "__len__|statistics|log_statistics", "counts for people alone"),
 )
 
 
@@ -180,6 +184,27 @@
     return found
 
 
+def stale_names() -> list[str]:
+    """One message for each file or function that `CORE` or `REASONS` names and the core does not have."""
+    messages = [f"CORE: there is no file {file}" for file in CORE if not (ROOT / file).exists()]
+    for file, pattern, _ in REASONS:
+        if file and not (ROOT / file).exists():
+            messages.append(f"REASONS: there is no file {file}")
+            continue
+        defined = {name for path in ([file] if file else CORE) for name in _function_names(path)}
+        messages += [
+            f"REASONS: {name!r} of the pattern {pattern!r} is no function of {file or 'any file in CORE'}"
+            for name in filter(None, pattern.split("|"))
+            if not any(function == name or function.endswith(f".{name}") for function in defined)
+        ]
+    return messages
+
+
+def _function_names(file: str) -> set[str]:
+    path = ROOT / file
+    return set(_functions(path).values()) if path.exists() else set()
+
+
 def reason(file: str, function: str) -> str:
     """Why lines of a function were not executed; empty if no reason is recorded."""
     for where, names, why in REASONS:
