--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -15,23 +15,24 @@
 def test_idle_clients_are_evicted_and_busy_ones_stay() -> None:
     """Evicted because a connection without a request must not keep out a client that has one."""
     router = RouterHarness(sockets=16)  # of which clients get 8
-    busy, halfway = router.connect(), router.connect()
+    busy, partial = router.connect(), router.connect()
     busy.send_request()
     fetch = router.next_command()
-    halfway.sock.sendall(halfway.encode_request()[:40])
-    held = [router.connect() for _ in range(6)]
-    for client in held[:3]:
+    partial.sock.sendall(partial.encode_request()[:40])
+    idle = [router.connect() for _ in range(6)]
+    for client in idle[:3]:
         assert (
             client.request(path="/status/live").status == 200
         )  # and it stays; the others never say anything
     for _ in range(8):
         late = router.connect()
         assert late.request(path="/status/live").status == 200
-    halfway.sock.sendall(halfway.encode_request()[40:])
+    partial.sock.sendall(partial.encode_request()[40:])
     router.next_command().reply(body=b"halfway")
-    assert halfway.read_response().body == b"halfway"
+    assert partial.read_response().body == b"halfway"
     fetch.reply(body=b"busy")
-    assert busy.read_response().body == b"busy" and held[-1].is_closed()
+    assert busy.read_response().body == b"busy"
+    assert idle[-1].is_closed()
     router.close()
 
 
@@ -42,7 +43,8 @@
     fetch = router.next_command()
     client.send_request(2)
     response = client.read_response()
-    assert response.request_id == 2 and is_rejection(response)
+    assert response.request_id == 2
+    assert is_rejection(response)
     fetch.reply()
     assert client.read_response()[:2] == (1, 200)
     router.close()
@@ -81,22 +83,32 @@
     A new share applies at once.
     """
     settings = settings_from_json({"zone": 0, "classes": [{"deadline": 5000.0, "on_time": 900.0}]})
-    admit = AdmissionController(settings, RequestTable(), MemoryBudget(), 0.0, 1)
-    admit.cpu_credit.set_share(1e-9)
-    assert admit.cpu_credit.remaining() < 0
-    assert [admit.shed_reason(1000.0 + waited, 1000.0, 0) for waited in (0.0, 20.0, 30.0, 400.0)] == [
+    admission = AdmissionController(settings, RequestTable(), MemoryBudget(), 0.0, 1)
+    admission.cpu_credit.set_share(1e-9)
+    assert admission.cpu_credit.remaining() < 0
+    assert [
+        admission.shed_reason(1000.0 + queue_time, 1000.0, 0) for queue_time in (0.0, 20.0, 30.0, 400.0)
+    ] == [
         None,
         None,
         ShedReason.CPU,
         ShedReason.QUEUE_TIME,
     ]
-    admit.cpu_credit.set_share(1.0)
-    assert admit.shed_reason(1030.0, 1000.0, 0) is None
+    admission.cpu_credit.set_share(1.0)
+    assert admission.shed_reason(1030.0, 1000.0, 0) is None
 
 
-@pytest.mark.parametrize("waited, refused", [(10.0, []), (50.0, [0]), (100.0, [0, 1]), (9000.0, [0, 1, 2])])
-def test_requests_that_waited_too_long_are_shed_by_priority_weight(waited: float, refused: list[int]) -> None:
-    classes = [{"deadline": 5000.0, "on_time": 200.0, "importance": worth} for worth in (1.0, 2.0, 4.5)]
+@pytest.mark.parametrize(
+    ("queue_time", "shed"), [(10.0, []), (50.0, [0]), (100.0, [0, 1]), (9000.0, [0, 1, 2])]
+)
+def test_requests_that_waited_too_long_are_shed_by_priority_weight(
+    queue_time: float, shed: list[int]
+) -> None:
+    classes = [{"deadline": 5000.0, "on_time": 200.0, "importance": weight} for weight in (1.0, 2.0, 4.5)]
     settings = settings_from_json({"zone": 0, "classes": classes})
-    admit = AdmissionController(settings, RequestTable(), MemoryBudget(), 0.0, 1)
-    assert [kind for kind in range(3) if admit.shed_reason(1000.0 + waited, 1000.0, kind)] == refused
+    admission = AdmissionController(settings, RequestTable(), MemoryBudget(), 0.0, 1)
+    assert [
+        class_index
+        for class_index in range(3)
+        if admission.shed_reason(1000.0 + queue_time, 1000.0, class_index)
+    ] == shed
--- a/tests/test_fastcgi_frontend.py
+++ b/tests/test_fastcgi_frontend.py
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize(
-    "data, kind, content",
+    ("data", "kind", "content"),
     [
         (
             fastcgi_record(
@@ -66,11 +66,11 @@
     usual, client = router.connect(), router.connect()
     usual.send_request()
     fetch = router.next_command()
-    whole = client.encode_request(7)
+    request = client.encode_request(7)
     if sent == "half a record":
-        client.sock.sendall(whole[:10])
+        client.sock.sendall(request[:10])
     elif sent == "half a request":
-        client.sock.sendall(whole[:-8])  # all but the end of the body
+        client.sock.sendall(request[:-8])  # all but the end of the body
         assert client.read_response()[:2] == (7, 408)
         client.send_request(8)
         router.next_command().reply(body=b"goes on")
@@ -87,7 +87,8 @@
         client.encode_request().replace(struct.pack(">HB5x", 1, 1), bytes((0, 1)) + bytes(6), 1)
     )
     router.next_command().reply(body=b"x" * 100_000)
-    assert len(client.read_response().body) == 100_000 and client.is_closed()
+    assert len(client.read_response().body) == 100_000
+    assert client.is_closed()
 
 
 def test_request_above_the_connection_limit_is_answered_as_overloaded(router: RouterHarness) -> None:
--- a/tests/test_invalid_responses.py
+++ b/tests/test_invalid_responses.py
@@ -13,7 +13,7 @@
 VALID_RESPONSE_FIELDS = b"tell=hit,ver=aa11,born=1796128466000"
 
 
-@pytest.mark.parametrize("parameters, status", [({}, 200), (WRITE_REQUEST, FAILED_STATUS)])
+@pytest.mark.parametrize(("parameters", "status"), [({}, 200), (WRITE_REQUEST, FAILED_STATUS)])
 @pytest.mark.parametrize(
     "parts",
     [
@@ -45,10 +45,10 @@
         assert again.sock is not fetch.sock
         again.reply(body=b"whole")
     response = client.read_response()
-    assert response.status == status and router.commands.empty()
-    assert response.body == (b"whole" if status == 200 else b"") and router.log_lines(
-        "upstream-connection-lost"
-    )
+    assert response.status == status
+    assert router.commands.empty()
+    assert response.body == (b"whole" if status == 200 else b"")
+    assert router.log_lines("upstream-connection-lost")
 
 
 @pytest.mark.parametrize(
@@ -75,7 +75,8 @@
             fetch.reply(body=body)
         assert client.read_response().body == b"first"
         used.add(fetch.sock)
-    assert len(used) == 1 and not router.log_lines("upstream-connection-lost")
+    assert len(used) == 1
+    assert not router.log_lines("upstream-connection-lost")
 
 
 def test_late_or_duplicate_response_is_dropped(router: RouterHarness) -> None:
@@ -91,7 +92,7 @@
 
 
 @pytest.mark.parametrize(
-    "status, fields, parameters",
+    ("status", "fields", "parameters"),
     [
         ("200", {"born": int(time.time() * 1000) - 60_000}, {"path": "/svc/page"}),  # fresh for 20 s
         ("304", {"ver": "other"}, {"X_ETAG": "4be0"}),
@@ -105,7 +106,8 @@
     client.send_request(**parameters)
     router.next_command().reply(status, b"", **fields)
     router.next_command().reply(body=b"good")
-    assert client.read_response().body == b"good" and len(router.log_lines("invalid-response")) == 1
+    assert client.read_response().body == b"good"
+    assert len(router.log_lines("invalid-response")) == 1
 
 
 def test_not_modified_requires_a_version_from_the_cache(router: RouterHarness) -> None:
--- a/tests/test_request_validation.py
+++ b/tests/test_request_validation.py
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize(
-    "parameters, status",
+    ("parameters", "status"),
     [
         ({"X_TXN": None}, 400),
         ({"X_TXN": "a,from=s-1"}, 400),
@@ -58,7 +58,7 @@
     assert client.read_response().status == 200
 
 
-@pytest.mark.parametrize("kind, status", [(PARAMS, 413), (STDIN, 413)])
+@pytest.mark.parametrize(("kind", "status"), [(PARAMS, 413), (STDIN, 413)])
 def test_oversized_request_is_answered_before_its_end(router: RouterHarness, kind: int, status: int) -> None:
     client = router.connect()
     client.sock.sendall(
@@ -77,14 +77,17 @@
     fetch = router.next_command()
     assert other.request(X_TXN="9b1f03aa5c7e2d41", X_ROW="0123456789abcdef").status == 400
     fetch.reply(body=b"mine")
-    assert client.read_response().body == b"mine" and router.commands.empty()
+    assert client.read_response().body == b"mine"
+    assert router.commands.empty()
     other.send_request(X_TXN="9b1f03aa5c7e2d41")  # free again
     router.next_command().reply(body=b"now")
     assert other.read_response().body == b"now"
 
 
-@pytest.mark.parametrize("pause", [0.0, 0.005])
-def test_client_with_too_many_invalid_requests_is_disconnected(router: RouterHarness, pause: float) -> None:
+@pytest.mark.parametrize("interval", [0.0, 0.005])
+def test_client_with_too_many_invalid_requests_is_disconnected(
+    router: RouterHarness, interval: float
+) -> None:
     """Its open request is answered first, although it continues to send.
 
     Requests after the last one that gets a response of its own are rejected with a protocol status. How many
@@ -95,7 +98,7 @@
     fetch = router.next_command()
     for ident in range(2, 25):
         client.send_request(ident, path="/svc/nothing")
-        time.sleep(pause)
+        time.sleep(interval)
     router.wait_until(lambda: len(router.log_lines("bad-request")) > 3, "the rejections")
     fetch.reply(body=b"first")
     responses = []
@@ -108,6 +111,6 @@
     ]
     rejected = ends.count((404, 0))
     assert ends == [(404, 0)] * rejected + [(0, OVERLOADED)] * (len(ends) - rejected)
-    if pause:
+    if interval:
         assert (rejected, len(ends)) == (MOST_TURNED_AWAY + 1, 23)
     assert rejected > MOST_TURNED_AWAY
--- a/tests/test_statistics.py
+++ b/tests/test_statistics.py
@@ -19,10 +19,10 @@
     clock, responses = Clock(lambda: 1000.0, lambda: 1000.0), list[FinalResponse]()
     budget = MemoryBudget()
     budget.limit = 1e9
-    route = RequestRouter(
+    router = RequestRouter(
         settings_from_json(SETTINGS), 7, clock, Timers(clock, lambda: 0.0), budget, 0.0, fail_on_connect
     )
-    route.on_request(
+    router.on_request(
         IncomingRequest(
             "9b1f03aa5c7e2d41",
             "image",
@@ -39,15 +39,16 @@
             responses.append,
         )
     )
-    assert not route.run_decisions()
+    assert not router.run_decisions()
     set_sink(lambda event, fields: lines.append((event, fields)))
     try:
-        route.accounting.log_statistics(**route.statistics())
+        router.accounting.log_statistics(**router.statistics())
     finally:
         set_sink(None)
     assert [response.status for response in responses] == [ResponseStatus.REJECTED]
     assert [(event, fields["rejected_no_cache"]) for event, fields in lines] == [("stats", 1)]
 
 
-def fail_on_connect(owner: ChannelOwner, address: tuple[str, int], patience: float) -> UpstreamChannel:
-    raise AssertionError("there is nobody to connect to")
+def fail_on_connect(owner: ChannelOwner, address: tuple[str, int], timeout: float) -> UpstreamChannel:
+    """Fails the test: no connection may be opened."""
+    raise AssertionError("no connection may be opened")
--- a/tests/test_unread_input.py
+++ b/tests/test_unread_input.py
@@ -67,8 +67,8 @@
         sent = time.monotonic()
         time.sleep(UNREAD_TIME)
     limit = int(router.next_command().fields["limit"])
-    left = 3000 - (time.monotonic() - sent) * 1000
-    assert limit <= left + MAX_LIMIT_EXCESS
+    time_left = 3000 - (time.monotonic() - sent) * 1000
+    assert limit <= time_left + MAX_LIMIT_EXCESS
 
 
 def test_oldest_unread_request_determines_the_deduction(
@@ -83,8 +83,8 @@
             sent[f"{ident:016x}"] = time.monotonic()
             time.sleep(0.3)
     for fetch in fetches(router, 3):
-        left = 3000 - (time.monotonic() - sent[fetch.request_id]) * 1000
-        assert int(fetch.fields["limit"]) <= left + MAX_LIMIT_EXCESS
+        time_left = 3000 - (time.monotonic() - sent[fetch.request_id]) * 1000
+        assert int(fetch.fields["limit"]) <= time_left + MAX_LIMIT_EXCESS
 
 
 @pytest.mark.parametrize("how", ["abort", "close", "reset"])
@@ -139,8 +139,8 @@
     found = fetches(router, 3)
     assert len(found) == 3
     for fetch in found:
-        left = 3000 - (time.monotonic() - sent[fetch.request_id]) * 1000
-        assert int(fetch.fields["limit"]) <= left + MAX_LIMIT_EXCESS
+        time_left = 3000 - (time.monotonic() - sent[fetch.request_id]) * 1000
+        assert int(fetch.fields["limit"]) <= time_left + MAX_LIMIT_EXCESS
 
 
 def test_request_that_expired_unread_is_rejected_and_not_sent(
