--- a/edge_router/config/platform_file.py
+++ b/edge_router/config/platform_file.py
@@ -12,8 +12,8 @@
 
 from edge_router.config.settings_reader import settings_from_json
 from edge_router.decision.settings import Settings
-from edge_router.discovery.change_log import ChangeLogError, initial_events
 from edge_router.discovery.events import DiscoveryEvent
+from edge_router.discovery.initial_state import InitialStateError, initial_events
 
 LEAST_SOCKETS = 16
 
@@ -87,7 +87,7 @@
         )
     except KeyError as error:
         raise ConfigError(f"the configuration lacks {error}") from error
-    except (TypeError, ValueError, AttributeError, ArithmeticError, ChangeLogError) as error:
+    except (TypeError, ValueError, AttributeError, ArithmeticError, InitialStateError) as error:
         raise ConfigError(f"the configuration can't be used: {error}") from error
     if config.max_sockets < LEAST_SOCKETS or not (config.memory_mb > 0 and config.cpu_cores > 0):
         raise ConfigError(
--- a/edge_router/discovery/__init__.py
+++ b/edge_router/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""What is known of endpoints and purges, and the change log that tells it."""
+"""What is known of endpoints and purges, and the change log that it comes from."""
--- a/edge_router/discovery/change_log_watcher.py
+++ b/edge_router/discovery/change_log_watcher.py
@@ -1,109 +1,141 @@
-"""Follows the change log over trio."""
+"""Follows the change log over trio: connects, resumes after the last event, reconnects with backoff."""
 
 from __future__ import annotations
 
 import random
+from enum import StrEnum
 
 import trio
 
-from edge_router.discovery.change_log import MOST_FRAME, ChangeLogDecoder, ChangeLogError, frames
+from edge_router.discovery.change_log_decoder import ChangeLogDecoder
 from edge_router.discovery.events import DiscoveryListener
 from edge_router.protocol.buffer import BufferFullError, ReceiveBuffer
+from edge_router.protocol.change_log_frames import MAX_FRAME_SIZE, ChangeLogError, decode_frames
 from edge_router.runtime.event_log import log
 
-# What the log tells counts as told 2 s after a break and 4 s after it stops: all waits must fit into that.
-QUIET = 2.5  # a frame comes each second; after so many seconds without progress the connection is given up
-LEAST_PROGRESS = 4096  # bytes of one frame that count as progress, for a long list may take long to come in
-BACK_OFF = 0.05, 0.4  # seconds before the next connection, doubled from the first to the second,
-NOT_UP = "not up in time"
-JITTER = 0.5  # less up to this part of them: a fleet that lost its log at once does not come back in step
-CONNECT_WAIT = 0.8, 3.2  # seconds for a connection to come up: the first time, doubled up to the second
+# An event counts as received 2 s after a break and 4 s after the log stops: all waits must fit into that.
+IDLE_TIMEOUT = (
+    2.5  # seconds without progress after which a connection is given up; heartbeats come each second
+)
+MIN_PROGRESS = 4096  # bytes of one frame that count as progress, since a long list may take long to arrive
+MIN_BACKOFF, MAX_BACKOFF = 0.05, 0.4  # seconds before the next connection, doubled from one to the other
+BACKOFF_JITTER = 0.5  # the part of a backoff that is random, so that a whole fleet does not reconnect in step
+MIN_CONNECT_TIMEOUT, MAX_CONNECT_TIMEOUT = 0.8, 3.2  # seconds, doubled each time it ran out
+READ_SIZE = 4096  # bytes
+
+
+class DisconnectReason(StrEnum):
+    """Why a connection to the change log ended without an error; logged as it is."""
+
+    CONNECT_TIMEOUT = "not up in time"
+    CLOSED = "closed by the log"
+    IDLE = "silent"
+    INTERNAL_ERROR = "an event can't be worked off"
+
+
+class SequenceGapError(ChangeLogError):
+    """Events are missing before this one; they have to be requested again."""
+
+    def __init__(self, sequence: int) -> None:
+        super().__init__(f"a gap before {sequence}")
+        self.sequence = sequence
 
 
 async def _send_all(sock: trio.socket.SocketType, data: bytes) -> None:
-    """Guards against a write that is short, after which the log would wait for the rest for good."""
+    """Sends all of the data, however little of it each write accepts."""
     while data:
         data = data[await sock.send(data) :]
 
 
 class ChangeLogWatcher:
-    """Follows the change log for good: resumes after the last number, however often it breaks."""
+    """Follows the change log for as long as it runs, across any number of connections."""
 
-    def __init__(self, host: str, port: int, last: int, seed: int) -> None:
+    def __init__(self, host: str, port: int, last_sequence: int, seed: int) -> None:
         self._address = (host, port)
         self._random = random.Random(seed)
-        self._decoder = ChangeLogDecoder(last)
-        self._scope = trio.CancelScope()
+        self._decoder = ChangeLogDecoder(last_sequence)
+        self._address_scope = trio.CancelScope()  # cancelled when the address changes
 
     def set_address(self, host: str, port: int) -> None:
-        """Follows the log at another address from now on, after the same last number.
+        """Follows the log at another address from now on, after the same event.
 
-        The connection to the old one is given up at once: it may stay open and tell nothing more.
+        The old connection is closed at once, as it may stay open without any further event.
         """
         if (host, port) != self._address:
             self._address = (host, port)
-            self._scope.cancel()
+            self._address_scope.cancel()
 
-    async def run(self, sink: DiscoveryListener) -> None:
-        """Follows the log for good, wherever it is."""
+    async def run(self, listener: DiscoveryListener) -> None:
+        """Follows the log for good, at whichever address it is."""
         while True:
-            with trio.CancelScope() as self._scope:
-                await self._keep(sink)
+            with trio.CancelScope() as self._address_scope:
+                await self._reconnect_forever(listener)
             log(
                 "change-log-address-changed",
                 to=":".join(map(str, self._address)),
                 last_sequence=self._decoder.last_sequence,
             )
 
-    async def _keep(self, sink: DiscoveryListener) -> None:
-        """Connects again and again, with a short back-off."""
-        wait, patience = BACK_OFF[0], CONNECT_WAIT[0]
+    async def _reconnect_forever(self, listener: DiscoveryListener) -> None:
+        """Connects again and again, with backoff between connections that brought no event."""
+        backoff, connect_timeout = MIN_BACKOFF, MIN_CONNECT_TIMEOUT
         while True:
-            before = self._decoder.last_sequence
-            why = "closed"
-            try:
-                why = await self._follow(sink, patience)
-            except (OSError, BufferFullError, ChangeLogError) as error:
-                why = str(error) or type(error).__name__
-            except Exception as error:  # guards against one event that can't be worked off ending the process
-                log("internal-error", location="change log", error=repr(error))
-                why = "an event can't be worked off"
-            log("change-log-disconnected", last_sequence=self._decoder.last_sequence, reason=why)
-            wait = BACK_OFF[0] if self._decoder.last_sequence != before else min(2 * wait, BACK_OFF[1])
-            patience = min(2 * patience, CONNECT_WAIT[1]) if why == NOT_UP else CONNECT_WAIT[0]
-            await trio.sleep(wait * self._random.uniform(1.0 - JITTER, 1.0))
-
-    async def _follow(self, sink: DiscoveryListener, patience: float) -> str:
-        """Follows the log over one connection; returns why it ended. Patience is in seconds."""
+            sequence_before = self._decoder.last_sequence
+            reason = await self._connection_result(listener, connect_timeout)
+            log("change-log-disconnected", last_sequence=self._decoder.last_sequence, reason=reason)
+            progressed = self._decoder.last_sequence != sequence_before
+            backoff = MIN_BACKOFF if progressed else min(2 * backoff, MAX_BACKOFF)
+            timed_out = reason is DisconnectReason.CONNECT_TIMEOUT
+            connect_timeout = (
+                min(2 * connect_timeout, MAX_CONNECT_TIMEOUT) if timed_out else MIN_CONNECT_TIMEOUT
+            )
+            await trio.sleep(backoff * self._random.uniform(1.0 - BACKOFF_JITTER, 1.0))
+
+    async def _connection_result(
+        self, listener: DiscoveryListener, connect_timeout: float
+    ) -> DisconnectReason | str:
+        """Follows the log over one connection; returns why it ended, or the error's text."""
+        try:
+            return await self._follow(listener, connect_timeout)
+        except (OSError, BufferFullError, ChangeLogError) as error:
+            return str(error) or type(error).__name__
+        except Exception as error:  # an event that can't be processed must not end the router
+            log("internal-error", location="change log", error=repr(error))
+            return DisconnectReason.INTERNAL_ERROR
+
+    async def _follow(self, listener: DiscoveryListener, connect_timeout: float) -> DisconnectReason:
+        """Follows the log over one connection until that ends. The timeout is in seconds."""
         with trio.socket.socket() as sock:
-            with trio.move_on_after(patience) as waiting:
+            with trio.move_on_after(connect_timeout) as connecting:
                 await sock.connect(self._address)
-                await _send_all(sock, self._decoder.hello())
-            if waiting.cancelled_caught:
-                return NOT_UP
+                await _send_all(sock, self._decoder.resume_request())
+            if connecting.cancelled_caught:
+                return DisconnectReason.CONNECT_TIMEOUT
             log("change-log-connected", last_sequence=self._decoder.last_sequence)
-            return await self._take_frames(sock, sink)
+            return await self._process_frames(sock, listener)
 
-    async def _take_frames(self, sock: trio.socket.SocketType, sink: DiscoveryListener) -> str:
-        """Takes in what comes until the connection ends or makes no progress; returns why.
+    async def _process_frames(
+        self, sock: trio.socket.SocketType, listener: DiscoveryListener
+    ) -> DisconnectReason:
+        """Processes frames until the connection ends or makes no progress; raises SequenceGapError.
 
-        Guards against a log that was cut off or stops in the middle of a frame: the connection stays open,
-        and bytes may still trickle in. A whole frame counts as progress, or a good part of a long one.
+        A log that is cut off or stops in the middle of a frame may leave the connection open, with a few
+        bytes now and then. So only a complete frame, or a good part of a long one, counts as progress.
         """
-        buffer, progress = ReceiveBuffer(MOST_FRAME + 4096), 0
-        with trio.move_on_after(QUIET) as quiet:
+        buffer, progress = ReceiveBuffer(MAX_FRAME_SIZE + READ_SIZE), 0
+        with trio.move_on_after(IDLE_TIMEOUT) as idle:
             while True:
-                with buffer.writable_view(4096) as view:
+                with buffer.writable_view(READ_SIZE) as view:
                     count = await sock.recv_into(view)
                 if not count:
-                    return "closed by the log"
+                    return DisconnectReason.CLOSED
                 buffer.commit(count)
                 progress += count
-                for frame in frames(buffer):
-                    progress = LEAST_PROGRESS
-                    if not self._decoder.process(frame, sink):
-                        return f"a gap before {frame.sequence}"
-                if progress >= LEAST_PROGRESS:
+                for frame in decode_frames(buffer):
+                    progress = MIN_PROGRESS
+                    if not self._decoder.process(frame, listener):
+                        raise SequenceGapError(frame.sequence)
+                if progress >= MIN_PROGRESS:
                     progress = 0
-                    quiet.deadline = trio.current_time() + QUIET
-        return "silent"
+                    idle.deadline = trio.current_time() + IDLE_TIMEOUT
+        return DisconnectReason.IDLE
--- a/edge_router/discovery/events.py
+++ b/edge_router/discovery/events.py
@@ -1,4 +1,4 @@
-"""What the core is told of nodes and purges, whoever keeps the list."""
+"""The events on endpoints and purges, and the roles of those who send and receive them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class EndpointAddress(NamedTuple):
-    """A node as listed, and where it listens for us."""
+    """An endpoint as listed, and where it listens for this router."""
 
     endpoint: Endpoint
     host: str
@@ -16,14 +16,14 @@
 
 
 class EndpointsChanged(NamedTuple):
-    """The whole list, or what has changed in it."""
+    """The complete list of endpoints, or what has changed in it."""
 
     complete: bool
     endpoints: tuple[EndpointAddress, ...]
 
 
 class ObjectPurged(NamedTuple):
-    """An object (or with key 0 a group) was purged at that Unix millisecond."""
+    """An object, or with key 0 a purge group, was purged at that Unix time in ms."""
 
     unix_time: float
     purge_group: int
@@ -34,14 +34,14 @@
 
 
 class DiscoveryListener(Protocol):
-    """Who takes in what is told, in order."""
+    """Receives the events, in order."""
 
     def on_discovery_event(self, event: DiscoveryEvent) -> None:
-        """One event of the list's keeper."""
+        """Called with each event, once."""
 
 
 class DiscoverySource(Protocol):
-    """A keeper of the list: tells the sink of every change for as long as it runs."""
+    """Sends the listener every event for as long as it runs."""
 
-    async def run(self, sink: DiscoveryListener) -> None:
-        """Follows the list; never ends by itself and lets no error of the network out."""
+    async def run(self, listener: DiscoveryListener) -> None:
+        """Follows the list; never returns, and raises no network error."""
--- a/edge_router/model_checker/model/change_log.py
+++ b/edge_router/model_checker/model/change_log.py
@@ -5,12 +5,13 @@
 import struct
 
 from edge_router.decision.messages import EndpointState
-from edge_router.discovery.change_log import ChangeLogDecoder, frames
+from edge_router.discovery.change_log_decoder import ChangeLogDecoder
 from edge_router.discovery.events import DiscoveryEvent, EndpointsChanged, ObjectPurged
 from edge_router.model_checker.model.endpoints import Endpoints
 from edge_router.model_checker.model.harness import Harness
 from edge_router.model_checker.properties import ObservedPurge
 from edge_router.protocol.buffer import ReceiveBuffer
+from edge_router.protocol.change_log_frames import decode_frames
 
 PURGED_GROUP = 3
 COMPLETE_LIST, CHANGED_NODES, OBJECT_PURGE, GROUP_PURGE = 1, 2, 3, 4  # kinds of events
@@ -107,7 +108,7 @@
         self.skips = True
 
     def _catch_up(self) -> None:
-        (last,) = struct.unpack(">Q", self.follower.hello())
+        (last,) = struct.unpack(">Q", self.follower.resume_request())
         for frame in self.frames[last:]:
             self._deliver(frame)
 
@@ -115,7 +116,7 @@
         """Hands a frame to the follower; False if it wants to connect anew."""
         buffer = ReceiveBuffer(_BUFFER)
         buffer.append(data)
-        return all(self.follower.process(frame, self) for frame in frames(buffer))
+        return all(self.follower.process(frame, self) for frame in decode_frames(buffer))
 
     def on_discovery_event(self, event: DiscoveryEvent) -> None:
         """Called by the follower with each event; passes it to the observer, then to the router."""
--- a/edge_router/model_checker/mutations/proxy.py
+++ b/edge_router/model_checker/mutations/proxy.py
@@ -277,7 +277,7 @@
         "draining-counts-as-ready",
         endpoint_table.EndpointTable,
         "is_ready",
-        "member.endpoint.state is EndpointState.READY",
+        "address.endpoint.state is EndpointState.READY",
         "True",
         ("drain",),
         "no-drained",
--- a/edge_router/model_checker/mutations/transport.py
+++ b/edge_router/model_checker/mutations/transport.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from edge_router.discovery import change_log
+from edge_router.discovery import change_log_decoder
 from edge_router.model_checker.mutations.common import Mutation
 from edge_router.protocol import fastcgi, resp
 from edge_router.transport import client_session, upstream_channel
@@ -10,7 +10,7 @@
 TRANSPORT_MUTATIONS: tuple[Mutation, ...] = (
     Mutation(
         "change-taken-for-the-whole",
-        change_log.ChangeLogDecoder,
+        change_log_decoder.ChangeLogDecoder,
         "process",
         "if frame.sequence <= self.last_sequence:",
         "if False:",
@@ -19,7 +19,7 @@
     ),
     Mutation(
         "gap-not-noticed",
-        change_log.ChangeLogDecoder,
+        change_log_decoder.ChangeLogDecoder,
         "process",
         "frame.sequence > self.last_sequence + 1\n",
         "False\n",
--- a/edge_router/model_checker/reach.py
+++ b/edge_router/model_checker/reach.py
@@ -36,7 +36,8 @@
     "proxy/request_router.py",
     "proxy/dispatch.py",
     "protocol/buffer.py",
-    "discovery/change_log.py",
+    "protocol/change_log_frames.py",
+    "discovery/change_log_decoder.py",
     "transport/upstream_channel.py",
     "protocol/fastcgi.py",
     "proxy/fastcgi_frontend.py",
@@ -94,7 +95,7 @@
         "takes|_place|arrived|down",
         "full connections, short arrays: tests/test_router.py",
     ),
-    ("discovery/change_log.py", "take", "empty frames and unknown kinds: tests/test_router.py"),
+    ("discovery/change_log_decoder.py", "process", "empty frames and unknown kinds: tests/test_router.py"),
     (
         "transport/upstream_channel.py",
         "_pump",
@@ -106,9 +107,14 @@
         "bad requests, and clients that are gone: tests/test_router.py",
     ),
     (
-        "discovery/change_log.py",
-        "member_from|_place|known_events|_accept_gap|frames|_members|_frame",
-        "the JSON of the start, and broken frames: tests/test_router.py",
+        "discovery/change_log_decoder.py",
+        "_accept_gap|_decode_event",
+        "gaps that stay, and broken events: tests/test_endpoint_updates.py",
+    ),
+    (
+        "protocol/change_log_frames.py",
+        "decode_frames",
+        "broken frames: tests/test_endpoint_updates.py",
     ),
     (
         "transport/client_session.py",
