--- a/edge_router/transport/upstream_connection.py
+++ b/edge_router/transport/upstream_connection.py
@@ -58,11 +58,11 @@
                 with trio.socket.from_stdlib_socket(self._sock) as sock:
                     return await self._live(sock, end)
             except OSError as error:
-                self.lacking = is_local_shortage(error) and not self.connected
-                if not self.lacking or trio.current_time() + PAUSE >= end:
+                self.local_shortage = is_local_shortage(error) and not self.connected
+                if not self.local_shortage or trio.current_time() + PAUSE >= end:
                     raise
             await trio.sleep(PAUSE)
-            self.lacking = False
+            self.local_shortage = False
 
     async def _live(self, sock: trio.socket.SocketType, end: float) -> str:
         sock.setsockopt(trio.socket.IPPROTO_TCP, trio.socket.TCP_NODELAY, 1)
