--- a/edge_router/model_checker/reach.py
+++ b/edge_router/model_checker/reach.py
@@ -42,7 +42,8 @@
     "proxy/upstream_connections.py",
     "proxy/fetch_command.py",
     "protocol/buffer.py",
-    "discovery/change_log.py",
+    "protocol/change_log_frames.py",
+    "discovery/change_log_decoder.py",
     "transport/upstream_channel.py",
     "protocol/fastcgi.py",
     "proxy/fastcgi_frontend.py",
@@ -117,7 +118,7 @@
         "full connections, short arrays: tests/test_router.py",
     ),
     ("proxy/upstream_connections.py", "accepts", "full connections: tests/test_router.py"),
-    ("discovery/change_log.py", "process", "empty frames and unknown kinds: tests/test_router.py"),
+    ("discovery/change_log_decoder.py", "process", "empty frames and unknown kinds: tests/test_router.py"),
     (
         "transport/upstream_channel.py",
         "_pump",
@@ -129,9 +130,14 @@
         "bad requests, and clients that are gone: tests/test_router.py",
     ),
     (
-        "discovery/change_log.py",
-        "endpoint_from_json|_place|initial_events|_accept_gap|frames|_members|_event",
-        "the JSON of the start, and broken frames: tests/test_router.py",
+        "discovery/change_log_decoder.py",
+        "_accept_gap|_decode_event",
+        "gaps that stay, and broken events: tests/test_endpoint_updates.py",
+    ),
+    (
+        "protocol/change_log_frames.py",
+        "decode_frames",
+        "broken frames: tests/test_endpoint_updates.py",
     ),
     (
         "transport/client_session.py",
