--- a/edge_router/cli/explore.py
+++ b/edge_router/cli/explore.py
@@ -47,19 +47,21 @@
 
     shown: set[str] = set()
     for found in result.found:
-        if found.violation.prop in shown or len(shown) >= MOST_SHOWN:
+        if found.violation.property_name in shown or len(shown) >= MOST_SHOWN:
             continue
-        shown.add(found.violation.prop)
+        shown.add(found.violation.property_name)
         if scope_name in ("channel", "codecs"):
-            click.echo(f"  {found.violation.prop}: {found.violation.why}: {' / '.join(found.steps)}")
+            click.echo(
+                f"  {found.violation.property_name}: {found.violation.detail}: {' / '.join(found.steps)}"
+            )
             continue
         scope = named(scopes, scope_name)
-        steps = shrink(model_factory(scope), found.steps, found.violation.prop)
-        trace = Trace(scope, steps, found.violation.prop, found.violation.why)
+        steps = shrink(model_factory(scope), found.steps, found.violation.property_name)
+        trace = Trace(scope, steps, found.violation.property_name, found.violation.detail)
         click.echo(trace.report())
         if folder is not None:
             folder.mkdir(parents=True, exist_ok=True)
-            path = folder / f"{scope_name}-{found.violation.prop}.json"
+            path = folder / f"{scope_name}-{found.violation.property_name}.json"
             path.write_text(trace.to_json())
             click.echo(f"  kept as {path}")
 
@@ -149,7 +151,7 @@
     table = Table("fault", "found by", "in", "states", "steps", "seconds")
     for caught in found:
         by = (
-            caught.found.violation.prop
+            caught.found.violation.property_name
             if caught.found
             else f"crash: {caught.crash}"
             if caught.crash
--- a/edge_router/model_checker/channels.py
+++ b/edge_router/model_checker/channels.py
@@ -57,7 +57,7 @@
     def encode(self) -> bytes | None:
         """Its bytes; None if it withdraws."""
         if self.machine.ends:
-            self.machine.violated("told-once", f"{self.text} begins on a connection that is over")
+            self.machine.record_violation("told-once", f"{self.text} begins on a connection that is over")
         self.begun += 1
         self.state = "dropped" if self.text == WITHDRAWN else "begun"
         return None if self.text == WITHDRAWN else self.text.encode()
@@ -65,7 +65,9 @@
     def on_not_written(self) -> None:
         """The channel reports that none of it was written."""
         if self.text.encode() in self.machine.sock.taken:
-            self.machine.violated("order-kept", f"{self.text} was written, and is reported as unwritten")
+            self.machine.record_violation(
+                "order-kept", f"{self.text} was written, and is reported as unwritten"
+            )
         self.state = "waiting"
 
 
@@ -86,9 +88,9 @@
     def _clock() -> float:
         return 1.0
 
-    def violated(self, prop: str, why: str) -> None:
+    def record_violation(self, property_name: str, detail: str) -> None:
         """Records a violation."""
-        self.violations.append(Violation(prop, why))
+        self.violations.append(Violation(property_name, detail))
 
     def on_message(self, connection: UpstreamChannel, array: list[bytes]) -> None:
         """The channel has decoded an array."""
@@ -98,7 +100,7 @@
         """The channel reports its end."""
         self.ends.append(why)
         if len(self.ends) > 1:
-            self.violated("told-once", f"notified {len(self.ends)} times of the end")
+            self.record_violation("told-once", f"notified {len(self.ends)} times of the end")
 
     def enabled(self) -> list[str]:
         """All steps that may be taken now."""
@@ -152,7 +154,7 @@
             try:
                 self.channel.on_received()
             except RespError:
-                self.violated("clean-error", "a legal answer can't be read")
+                self.record_violation("clean-error", "a legal answer can't be read")
         elif word == "writable":
             self.channel.on_writable()
         elif word == "close":
@@ -164,11 +166,11 @@
     def _check(self) -> None:
         expected = b"".join(command.text.encode() for command in self.commands if command.text != WITHDRAWN)
         if not expected.startswith(self.sock.taken):
-            self.violated("order-kept", f"written {self.sock.taken!r} of {expected!r}")
+            self.record_violation("order-kept", f"written {self.sock.taken!r} of {expected!r}")
         for command in self.commands:
             written = command.text.encode()[:1] in self.sock.taken
             if command.state == "waiting" and written:
-                self.violated("order-kept", f"{command.text} waits, and was written")
+                self.record_violation("order-kept", f"{command.text} waits, and was written")
 
     def touches(self, step: str) -> frozenset[str] | None:
         """None: any step may touch everything here."""
@@ -187,7 +189,7 @@
                 break
             self.do(step)
         if not self.ends:
-            self.violated("told-once", "the owner was never notified of the end")
+            self.record_violation("told-once", "the owner was never notified of the end")
 
     def encode(self) -> bytes:
         """The state in its canonical form."""
--- a/edge_router/model_checker/chart.py
+++ b/edge_router/model_checker/chart.py
@@ -73,7 +73,10 @@
             )
             axes.text((from_lane + router) / 2, at + 0.12, label, size=7, ha="center")
         axes.text(-0.75, at, f"{one.at:.0f} ms", size=7, ha="right", va="center", color="0.4")
-    why = "; ".join(f"{violation.prop}: {violation.why}" for violation in violations) or "nothing is broken"
+    why = (
+        "; ".join(f"{violation.property_name}: {violation.detail}" for violation in violations)
+        or "nothing is broken"
+    )
     axes.text(router, -len(taken) - 0.9, why, size=8, color="tab:red", ha="center")
     axes.set_xlim(-1.2, len(lanes) - 0.4)
     axes.set_ylim(-len(taken) - 1.4, 1.4)
--- a/edge_router/model_checker/fingerprint/__init__.py
+++ b/edge_router/model_checker/fingerprint/__init__.py
@@ -1,10 +1,10 @@
 """A state of the router model in a canonical form, from which its fingerprint is made.
 
-Times are relative to the present, requests are named by their place in the scope, and connections by node and
-order, so that runs which differ in those names alone give the same state. Each area of the core has a module
-with its encoders and its part of the ledger: the fields of each class that are encoded, and those left out,
-with the reason. A class with a field that the ledger does not list is refused (`check_fields`), since a field
-that was forgotten would merge states that differ.
+Times are relative to the present, requests are named by their place in the scope, and connections by endpoint
+and order, so that runs which differ in those names alone give the same state. Each area of the core has a
+module with its encoders and its part of the ledger: the fields of each class that are encoded, and those left
+out, with the reason. A class with a field that the ledger does not list is refused (`check_fields`), since a
+field that was forgotten would merge states that differ.
 """
 
 from __future__ import annotations
@@ -49,15 +49,15 @@
 def encode_state(state: ModelState) -> bytes:
     """The canonical form of the whole state."""
     harness = state.harness
-    frame = Frame(harness.now, harness.route.requests)
+    frame = Frame(harness.now, harness.router.requests)
     servers = [encode_server(channel, harness, frame) for channel in harness.channels]
     encoded = (
-        encode_proxy(harness.route, harness.budget, frame),
+        encode_proxy(harness.router, harness.budget, frame),
         tuple(sorted(servers, key=lambda server: server[0])),
-        encode_timers(harness.timers, harness.t, frame),
-        encode_director(harness.route._policy, frame),
+        encode_timers(harness.timers, harness.monotonic_now, frame),
+        encode_director(harness.router._policy, frame),
         encode_surroundings(state, frame),
-        encode_observer(harness.observer, harness.route, frame),
+        encode_observer(harness.observer, harness.router, frame),
     )
     return marshal.dumps(encoded, 2)
 
@@ -65,32 +65,32 @@
 def all_parts(state: ModelState) -> list[object]:
     """The objects of the state whose classes the ledger lists, to check their fields."""
     harness, session = state.harness, state.clients.session
-    route = harness.route
-    director = route._policy
-    found: list[object] = [
-        route,
-        route.admission,
-        route.accounting,
-        route.response_handler,
-        route.dispatcher,
-        route.requests,
-        route.endpoints,
-        route.purges,
+    router = harness.router
+    policy = router._policy
+    parts: list[object] = [
+        router,
+        router.admission,
+        router.accounting,
+        router.response_handler,
+        router.dispatcher,
+        router.requests,
+        router.endpoints,
+        router.purges,
         harness.budget,
         harness.timers,
         session,
         session._decoder,
-        director,
-        director._popularity,
-        director._purges,
-        director._cold_caches,
-        director._link,
+        policy,
+        policy._popularity,
+        policy._purges,
+        policy._cold_caches,
+        policy._link,
     ]
-    for request in route.requests:
-        found += [request, *request.attempts]
+    for request in router.requests:
+        parts += [request, *request.attempts]
     for channel in harness.channels:
-        found += [channel, channel.sock, channel.link, channel.decoder]
-    for held in director._held.values():
-        found += [held, *held.attempts]
-    found += list(director._cache_health.values())
-    return found
+        parts += [channel, channel.sock, channel.connection, channel.decoder]
+    for pending in policy._held.values():
+        parts += [pending, *pending.attempts]
+    parts += list(policy._cache_health.values())
+    return parts
--- a/edge_router/model_checker/fingerprint/peers.py
+++ b/edge_router/model_checker/fingerprint/peers.py
@@ -11,39 +11,45 @@
 from edge_router.model_checker.model.endpoints import Endpoints
 from edge_router.model_checker.model.harness import Harness
 from edge_router.model_checker.model.state import ModelState
-from edge_router.model_checker.peers import LinkSocket, ServerChannel
+from edge_router.model_checker.peers import CacheChannel, UpstreamSocket
 from edge_router.model_checker.properties import ObservedAttempt, ObservedRequest, Observer, RequestState
 from edge_router.proxy.request_router import RequestRouter
 
 EVENT_HEAD = 13  # bytes of an event of the change log before its payload
 
 PEERS: Ledger = {
-    ServerChannel: Fields(
-        "process until silent sock asked aborted done numbers unsent",
-        {"link": WIRING, "observer": WIRING, "last": DERIVED, "partial": DERIVED},
+    CacheChannel: Fields(
+        "listening_endpoint_id connect_deadline never_connects sock pending_ids aborted_ids answered_ids "
+        "attempt_numbers unsent",
+        {"connection": WIRING, "observer": WIRING, "last_responses": DERIVED, "partial": DERIVED},
+    ),
+    UpstreamSocket: Fields(
+        "writable_bytes end _remaining", {"_observer": WIRING, "_channel": WIRING, "_command": DERIVED}
     ),
-    LinkSocket: Fields("room end _remaining", {"_observer": WIRING, "_channel": WIRING, "_command": DERIVED}),
 }
 
 
-def encode_server(channel: ServerChannel, harness: Harness, frame: Frame) -> tuple[Any, ...]:
+def encode_server(channel: CacheChannel, harness: Harness, frame: Frame) -> tuple[Any, ...]:
     """A connection to a modelled cache: the router's end, its socket, and what the cache knows."""
-    sock, node = channel.sock, channel.link.endpoint_id
+    sock, endpoint_id = channel.sock, channel.connection.endpoint_id
     return (
-        node,
-        channel.process,
-        round(channel.until - harness.t, 6),
-        channel.silent,
+        endpoint_id,
+        channel.listening_endpoint_id,
+        round(channel.connect_deadline - harness.monotonic_now, 6),
+        channel.never_connects,
         *encode_channel(channel, frame),
-        -1 if sock.room is None else sock.room,
+        -1 if sock.writable_bytes is None else sock.writable_bytes,
         "" if sock.end is None else sock.end.value,
         sock._remaining,
-        tuple(sorted(channel.asked)),
-        tuple(sorted(channel.aborted)),
-        tuple(sorted(dict.fromkeys(channel.done))),
-        tuple(sorted(channel.numbers.items())),
+        tuple(sorted(channel.pending_ids)),
+        tuple(sorted(channel.aborted_ids)),
+        tuple(sorted(dict.fromkeys(channel.answered_ids))),
+        tuple(sorted(channel.attempt_numbers.items())),
         channel.unsent,
-        any(link is channel.link for link in harness.route.dispatcher._connections.get(node, ())),
+        any(
+            connection is channel.connection
+            for connection in harness.router.dispatcher._connections.get(endpoint_id, ())
+        ),
     )
 
 
@@ -52,12 +58,12 @@
     harness = state.harness
     return (
         _client(state.clients, frame),
-        _members(state.endpoints, frame),
+        _listed_endpoints(state.endpoints, frame),
         _change_log(state.change_log, "repeat" in state.scope.kinds),
-        tuple(sorted(state.endpoints.processes.items())),
-        tuple((request.cls, request.progress.value) for request in state.clients.requests),
+        tuple(sorted(state.endpoints.listeners.items())),
+        tuple((request.class_name, request.progress.value) for request in state.clients.requests),
         state.faults,
-        round(harness.term_at - harness.t, 6),
+        round(harness.shutdown_deadline - harness.monotonic_now, 6),
         harness.expired,
     )
 
@@ -68,57 +74,65 @@
         *encode_session(session, frame),
         session.closing,
         session.finished,
-        -1 if session.sock.room is None else session.sock.room,
-        session.sock.gone,
-        tuple(sorted(clients.heads.items())),
+        -1 if session.sock.writable_bytes is None else session.sock.writable_bytes,
+        session.sock.disconnected,
+        tuple(sorted(clients.partial_responses.items())),
     )
 
 
-def _members(endpoints: Endpoints, frame: Frame) -> tuple[Any, ...]:
+def _listed_endpoints(endpoints: Endpoints, frame: Frame) -> tuple[Any, ...]:
     return tuple(
-        (node, member.name, int(member.state), frame.time(member.started))
-        for node, member in sorted(endpoints.members.items())
+        (endpoint_id, listed.name, int(listed.state), frame.time(listed.started))
+        for endpoint_id, listed in sorted(endpoints.listed.items())
     )
 
 
 def _change_log(log: ChangeLog, may_repeat: bool) -> tuple[Any, ...]:
     """What the router has not received yet; and the last event, where it may be sent again."""
-    follower = log.follower
+    decoder = log.decoder
     return (
-        log.up,
-        log.skips,
-        len(log.frames) - follower.last_sequence,
-        follower._sequence_after_gap - follower.last_sequence,
-        follower._replaying_all,
-        tuple(log.frames[follower.last_sequence :]),
+        log.connected,
+        log.skips_sequence,
+        len(log.frames) - decoder.last_sequence,
+        decoder._sequence_after_gap - decoder.last_sequence,
+        decoder._replaying_all,
+        tuple(log.frames[decoder.last_sequence :]),
         log.frames[-1][EVENT_HEAD:] if may_repeat else b"",
     )
 
 
-def encode_observer(observer: Observer, route: RequestRouter, frame: Frame) -> tuple[Any, ...]:
+def encode_observer(observer: Observer, router: RequestRouter, frame: Frame) -> tuple[Any, ...]:
     """What the observer has to remember of purges and requests."""
     purges = tuple(
-        (frame.time(purge.notified_at), frame.time(purge.purged_at), purge.group, purge.key)
+        (frame.time(purge.notified_at), frame.time(purge.purged_at), purge.group, purge.object_key)
         for purge in observer.purges
     )
-    requests = tuple(_request(txn, request, route, frame) for txn, request in observer.requests.items())
+    requests = tuple(
+        _request(request_id, request, router, frame) for request_id, request in observer.requests.items()
+    )
     return (purges, requests)
 
 
-def _request(txn: str, request: ObservedRequest, route: RequestRouter, frame: Frame) -> tuple[Any, ...]:
-    if request.state is not RequestState.OPEN and route.requests._by_request_id.get(txn) is None:
-        return (txn, request.state.value, 0.0, (), ())  # nothing that follows depends on the rest
+def _request(
+    request_id: str, request: ObservedRequest, router: RequestRouter, frame: Frame
+) -> tuple[Any, ...]:
+    if request.state is not RequestState.OPEN and router.requests._by_request_id.get(request_id) is None:
+        return (request_id, request.state.value, 0.0, (), ())  # nothing that follows depends on the rest
     attempts = tuple(_attempt(attempt, frame) for attempt in request.attempts)
-    history = (tuple(request.ended), request.orders, tuple(sorted(request.codes.items())))
-    return (txn, request.state.value, frame.time(request.due), attempts, history)
+    history = (
+        tuple(request.ended_attempts),
+        request.ordered_attempts,
+        tuple(sorted(request.status_codes.items())),
+    )
+    return (request_id, request.state.value, frame.time(request.deadline), attempts, history)
 
 
 def _attempt(attempt: ObservedAttempt, frame: Frame) -> tuple[Any, ...]:
     return (
         attempt.number,
-        attempt.node,
+        attempt.endpoint_id,
         frame.time(attempt.sent_at),
         attempt.known_purges,
         attempt.not_run,
-        attempt.over,
+        attempt.ended,
     )
--- a/edge_router/model_checker/machine.py
+++ b/edge_router/model_checker/machine.py
@@ -8,8 +8,8 @@
 class Violation(NamedTuple):
     """A property that does not hold, and the evidence."""
 
-    prop: str
-    why: str
+    property_name: str
+    detail: str
 
 
 class Machine(Protocol):
--- a/edge_router/model_checker/model/caches.py
+++ b/edge_router/model_checker/model/caches.py
@@ -4,26 +4,26 @@
 
 from dataclasses import dataclass
 
-from edge_router.model_checker.model.clients import ETAG, Clients, place_of, txn_id
+from edge_router.model_checker.model.clients import ETAG, Clients, place_of, request_id_at
 from edge_router.model_checker.model.harness import START, Harness
-from edge_router.model_checker.peers import PartialAnswer, ServerChannel, SocketEnd
+from edge_router.model_checker.peers import CacheChannel, PartialResponse, SocketEnd
 from edge_router.model_checker.scope import ANSWERS, NORMAL_ANSWERS, Scope
 from edge_router.protocol import resp
 
 STALE_AGE = 5000.0  # milliseconds by which a stale copy was born before the start
-CHOKED_ROOM = (0, 20)  # bytes that a choked connection still accepts
+CHOKED_BYTES = (0, 20)  # bytes that a choked connection still accepts
 
 _STALE_ANSWERS = ("old", "same")
-_UNKNOWN_TXN = "f" * 16
+_UNKNOWN_REQUEST_ID = "f" * 16
 
 
 @dataclass(frozen=True, slots=True)
-class CacheAnswer:
+class CacheResponse:
     """An answer of a cache."""
 
     data: bytes  # as it is sent
     body: bytes
-    born: float  # Unix milliseconds
+    created_at: float  # Unix milliseconds
 
 
 class Caches:
@@ -49,23 +49,23 @@
 
     def never_establish(self, name: str) -> None:
         """The connection will never be established."""
-        self._harness.channel(name).silent = True
+        self._harness.channel(name).never_connects = True
 
-    def lack_descriptor(self, name: str) -> None:
+    def run_out_of_descriptors(self, name: str) -> None:
         """There is no descriptor for the connection."""
         channel = self._harness.remove_channel(name)
         channel.local_shortage = True
         channel.on_connect_failed(OSError(24, "too many open files"))
         channel.on_closed()
 
-    def choke(self, name: str, room: int) -> None:
+    def choke(self, name: str, writable_bytes: int) -> None:
         """The connection accepts only so many bytes more."""
-        self._harness.channel(name).sock.room = room
+        self._harness.channel(name).sock.writable_bytes = writable_bytes
 
     def flush(self, name: str) -> None:
         """The connection accepts bytes again."""
         channel = self._harness.channel(name)
-        channel.sock.room = None
+        channel.sock.writable_bytes = None
         if channel._full:
             channel.on_writable()
 
@@ -88,56 +88,58 @@
 
     # -- answers --
 
-    def _make_answer(self, word: str, txn: str, node: int, cls: str) -> CacheAnswer:
-        code, note = ANSWERS[word]
-        born = START * 1000.0 - STALE_AGE if word in _STALE_ANSWERS else self._harness.now
+    def _make_response(self, kind: str, request_id: str, endpoint_id: int, class_name: str) -> CacheResponse:
+        code, note = ANSWERS[kind]
+        created_at = START * 1000.0 - STALE_AGE if kind in _STALE_ANSWERS else self._harness.now
         fields = [("tell", note)] if note else []
-        if code in ("200", "304") and word != "bare":
-            fields += [("ver", ETAG), ("born", f"{born:.0f}")]
-        body = f"{word}|{cls}|{node:x}|{born:.0f}".encode() if code == "200" else b""
+        if code in ("200", "304") and kind != "bare":
+            fields += [("ver", ETAG), ("born", f"{created_at:.0f}")]
+        body = f"{kind}|{class_name}|{endpoint_id:x}|{created_at:.0f}".encode() if code == "200" else b""
         fields += [("waited", "5"), ("meter", "busy:1;x0:0.5")]
-        data = resp.encode(txn.encode(), code.encode(), resp.words(fields), body)
-        return CacheAnswer(data, body, born)
+        data = resp.encode(request_id.encode(), code.encode(), resp.words(fields), body)
+        return CacheResponse(data, body, created_at)
 
-    def _answer_to(self, word: str, channel: ServerChannel, place: int) -> CacheAnswer:
-        cls = self._clients.requests[place].cls
-        return self._make_answer(word, txn_id(place), channel.link.endpoint_id, cls)
+    def _response_to(self, kind: str, channel: CacheChannel, place: int) -> CacheResponse:
+        class_name = self._clients.requests[place].class_name
+        return self._make_response(kind, request_id_at(place), channel.connection.endpoint_id, class_name)
 
-    def _report(self, channel: ServerChannel, txn: str, code: str, body: bytes, born: float) -> None:
-        number = channel.numbers.get(txn, -1)
-        self._harness.observer.answer_received(txn, number, code, body, born)
+    def _report(
+        self, channel: CacheChannel, request_id: str, code: str, body: bytes, created_at: float
+    ) -> None:
+        number = channel.attempt_numbers.get(request_id, -1)
+        self._harness.observer.response_received(request_id, number, code, body, created_at)
 
-    def answer(self, word: str, name: str, place: int) -> None:
+    def answer(self, kind: str, name: str, place: int) -> None:
         """The cache answers a request, in the way that the word names."""
-        channel, txn = self._harness.channel(name), txn_id(place)
-        answer = self._answer_to(word, channel, place)
-        channel.answered(txn, answer.data)
-        self._report(channel, txn, ANSWERS[word][0], answer.body, answer.born)
+        channel, request_id = self._harness.channel(name), request_id_at(place)
+        answer = self._response_to(kind, channel, place)
+        channel.record_response(request_id, answer.data)
+        self._report(channel, request_id, ANSWERS[kind][0], answer.body, answer.created_at)
         channel.deliver(answer.data)
 
     def answer_again(self, name: str, place: int) -> None:
         """The cache sends its answer a second time."""
         channel = self._harness.channel(name)
-        channel.deliver(channel.last[txn_id(place)])
+        channel.deliver(channel.last_responses[request_id_at(place)])
 
     def answer_unknown(self, name: str) -> None:
         """The cache sends an answer under an id that was never used."""
-        self._harness.channel(name).deliver(self._make_answer("full", _UNKNOWN_TXN, 0, "none").data)
+        self._harness.channel(name).deliver(self._make_response("full", _UNKNOWN_REQUEST_ID, 0, "none").data)
 
     def answer_unreadable(self, name: str, place: int) -> None:
         """The cache sends an answer that can't be read."""
-        channel, txn = self._harness.channel(name), txn_id(place)
-        channel.answered(txn, b"")
-        channel.deliver(resp.encode(txn.encode(), b"299", b"-", b""))
+        channel, request_id = self._harness.channel(name), request_id_at(place)
+        channel.record_response(request_id, b"")
+        channel.deliver(resp.encode(request_id.encode(), b"299", b"-", b""))
 
     def answer_half(self, name: str, place: int) -> None:
         """The cache sends the first half of an answer; the rest may follow."""
-        channel, txn = self._harness.channel(name), txn_id(place)
-        answer = self._answer_to("hit", channel, place)
-        channel.answered(txn, answer.data)
+        channel, request_id = self._harness.channel(name), request_id_at(place)
+        answer = self._response_to("hit", channel, place)
+        channel.record_response(request_id, answer.data)
         middle = len(answer.data) // 2
         channel.unsent = answer.data[middle:]
-        channel.partial = PartialAnswer(txn, answer.body, answer.born)
+        channel.partial = PartialResponse(request_id, answer.body, answer.created_at)
         channel.deliver(answer.data[:middle])
 
     def answer_half_and_reset(self, name: str, place: int) -> None:
@@ -153,7 +155,7 @@
         data, channel.unsent = channel.unsent, b""
         assert channel.partial is not None
         partial = channel.partial
-        self._report(channel, partial.txn, "200", partial.body, partial.born)
+        self._report(channel, partial.request_id, "200", partial.body, partial.created_at)
         channel.deliver(data)
 
     # -- which steps are enabled --
@@ -164,11 +166,11 @@
         for channel in harness.channels:
             if channel.closed or (channel.connected and channel.sock.end):
                 steps.append(f"end {harness.channel_name(channel)}")
-            elif not channel.connected and harness.t >= channel.until:
+            elif not channel.connected and harness.monotonic_now >= channel.connect_deadline:
                 steps.append(f"notup {harness.channel_name(channel)}")
         return steps
 
-    def enabled(self, channel: ServerChannel, fault_allowed: bool) -> list[str]:
+    def enabled(self, channel: CacheChannel, fault_allowed: bool) -> list[str]:
         """The steps of a connection and of the cache at its other end."""
         if channel.closed or channel.sock.end:
             return []
@@ -177,27 +179,32 @@
         steps = self._connection_steps(channel, name, kinds)
         if channel.unsent:
             return [f"rest {name}", *(f"{kind} {name}" for kind in ("reset", "hangup") if kind in kinds)]
-        for txn in channel.asked:
-            steps += self._answers_to(channel, name, txn, fault_allowed)
-        if "choke" in kinds and channel.sock.room is None:
-            steps += [f"choke{room} {name}" for room in CHOKED_ROOM]
+        for request_id in channel.pending_ids:
+            steps += self._answer_steps(channel, name, request_id, fault_allowed)
+        if "choke" in kinds and channel.sock.writable_bytes is None:
+            steps += [f"choke{room} {name}" for room in CHOKED_BYTES]
         if channel.connected:
             steps += [f"{kind} {name}" for kind in ("reset", "hangup", "stray") if kind in kinds]
             if "second" in kinds:
-                steps += [f"second {name} {place_of(txn)}" for txn in dict.fromkeys(channel.done)]
+                steps += [
+                    f"second {name} {place_of(request_id)}"
+                    for request_id in dict.fromkeys(channel.answered_ids)
+                ]
         return steps
 
-    def _connection_steps(self, channel: ServerChannel, name: str, kinds: tuple[str, ...]) -> list[str]:
+    def _connection_steps(self, channel: CacheChannel, name: str, kinds: tuple[str, ...]) -> list[str]:
         if channel.connected:
-            return [f"flush {name}"] if channel.sock.room is not None else []
-        if channel.silent:
+            return [f"flush {name}"] if channel.sock.writable_bytes is not None else []
+        if channel.never_connects:
             return []
         return [f"up {name}", *(f"{kind} {name}" for kind in ("refuse", "never", "lack") if kind in kinds)]
 
-    def _answers_to(self, channel: ServerChannel, name: str, txn: str, fault_allowed: bool) -> list[str]:
+    def _answer_steps(
+        self, channel: CacheChannel, name: str, request_id: str, fault_allowed: bool
+    ) -> list[str]:
         """The answers that the cache may give; to an aborted request, one kind stands for all."""
-        place = place_of(txn)
-        if txn in channel.aborted:
+        place = place_of(request_id)
+        if request_id in channel.aborted_ids:
             return [f"hit {name} {place}"]
         steps = [
             f"{answer} {name} {place}"
@@ -212,29 +219,34 @@
     # -- checks --
 
     def check_connections(self) -> None:
-        """Checks that the router closes connections to removed nodes and aborts what it gives up."""
+        """Checks that the router closes connections to removed endpoints and aborts what it gives up."""
         harness = self._harness
         for channel in harness.channels:
             name = harness.channel_name(channel)
-            if not channel.closed and not harness.route.endpoints.contains(channel.link.endpoint_id):
-                harness.violated("gone-closed", f"{name} stays open")
+            if not channel.closed and not harness.router.endpoints.contains(channel.connection.endpoint_id):
+                harness.record_violation("gone-closed", f"{name} stays open")
             if channel.connected and not (
                 channel.closed or channel.sock.end or channel._full or channel._queue
             ):
-                for txn in channel.asked:
-                    if txn not in channel.aborted and txn not in channel.link.attempts:
-                        harness.violated("cancelled", f"{name} was not notified of a cancelled attempt")
-
-    def commands_will_go(self, channel: ServerChannel) -> bool:
+                for request_id in channel.pending_ids:
+                    if (
+                        request_id not in channel.aborted_ids
+                        and request_id not in channel.connection.attempts
+                    ):
+                        harness.record_violation(
+                            "cancelled", f"{name} was not notified of a cancelled attempt"
+                        )
+
+    def commands_will_be_sent(self, channel: CacheChannel) -> bool:
         """Whether all commands that wait on the connection will be written, so that none ends an attempt."""
         if channel.sock.end:
             return False
-        nodes = self._harness.route.endpoints
+        endpoints = self._harness.router.endpoints
         attempts = [getattr(command, "_attempt", None) for command in channel._queue]
         return all(
             attempt is None
             or not (attempt.ended or attempt.purged)
-            and nodes.is_ready(attempt.instruction.endpoint_id)
-            and nodes.is_ready(attempt.instruction.source_id)
+            and endpoints.is_ready(attempt.instruction.endpoint_id)
+            and endpoints.is_ready(attempt.instruction.source_id)
             for attempt in attempts
         )
--- a/edge_router/model_checker/model/change_log.py
+++ b/edge_router/model_checker/model/change_log.py
@@ -13,7 +13,7 @@
 from edge_router.protocol.buffer import ReceiveBuffer
 
 PURGED_GROUP = 3
-COMPLETE_LIST, CHANGED_NODES, OBJECT_PURGE, GROUP_PURGE = 1, 2, 3, 4  # kinds of events
+COMPLETE_LIST, CHANGED_ENDPOINTS, OBJECT_PURGE, GROUP_PURGE = 1, 2, 3, 4  # kinds of events
 
 _HEAD = struct.Struct(">IQB")
 _HEAD_SIZE_COUNTED = 9  # bytes of the head that the length of a frame counts
@@ -26,12 +26,12 @@
     def __init__(self, harness: Harness, endpoints: Endpoints) -> None:
         self._harness = harness
         self._endpoints = endpoints
-        self.follower = ChangeLogDecoder(0)
+        self.decoder = ChangeLogDecoder(0)
         self.frames: list[bytes] = []  # by number, from 1 on
-        self.up = True
-        self.skips = False  # the next event comes under a number too high
+        self.connected = True
+        self.skips_sequence = False  # the next event comes under a number too high
         self.received = 0  # events that the follower has passed on
-        self._append_nodes(COMPLETE_LIST, list(endpoints.nodes))
+        self._append_endpoints(COMPLETE_LIST, list(endpoints.ids))
 
     # -- events --
 
@@ -39,45 +39,45 @@
         number = len(self.frames) + 1
         length = _HEAD_SIZE_COUNTED + len(payload)
         self.frames.append(_HEAD.pack(length, number, kind) + payload)
-        if not self.up:
+        if not self.connected:
             return
-        if self.skips:
-            self.skips = False
+        if self.skips_sequence:
+            self.skips_sequence = False
             if self._deliver(_HEAD.pack(length, number + 1, kind) + payload):
                 return
         self._catch_up()
 
-    def _append_nodes(self, kind: int, names: list[str]) -> None:
+    def _append_endpoints(self, kind: int, names: list[str]) -> None:
         self._append(kind, b"".join(map(self._endpoints.record, names)))
 
-    def _change_node(self, name: str, state: EndpointState, started: float | None = None) -> None:
+    def _change_endpoint(self, name: str, state: EndpointState, started: float | None = None) -> None:
         self._endpoints.set_state(name, state, started)
-        self._append_nodes(CHANGED_NODES, [name])
+        self._append_endpoints(CHANGED_ENDPOINTS, [name])
 
     def drain(self, name: str) -> None:
         """A node begins to drain."""
-        self._change_node(name, EndpointState.DRAINING)
+        self._change_endpoint(name, EndpointState.DRAINING)
 
     def undrain(self, name: str) -> None:
         """A draining node is ready again."""
-        self._change_node(name, EndpointState.READY)
+        self._change_endpoint(name, EndpointState.READY)
 
     def remove(self, name: str) -> None:
         """A node is gone."""
-        self._change_node(name, EndpointState.GONE)
+        self._change_endpoint(name, EndpointState.GONE)
 
     def restart(self, name: str) -> None:
         """A node has started anew."""
-        self._change_node(name, EndpointState.READY, round(self._harness.now))
+        self._change_endpoint(name, EndpointState.READY, round(self._harness.now))
 
     def replace(self, name: str) -> None:
         """A node is gone, and a new one has its address."""
         new_name = self._endpoints.replace(name)
-        self._append_nodes(CHANGED_NODES, [name, new_name])
+        self._append_endpoints(CHANGED_ENDPOINTS, [name, new_name])
 
     def join(self) -> None:
         """A new cache joins."""
-        self._append_nodes(CHANGED_NODES, [self._endpoints.join(round(self._harness.now))])
+        self._append_endpoints(CHANGED_ENDPOINTS, [self._endpoints.join(round(self._harness.now))])
 
     def purge(self, key: int) -> None:
         """An object is purged."""
@@ -91,11 +91,11 @@
 
     def cut(self) -> None:
         """The connection to the change log breaks."""
-        self.up = False
+        self.connected = False
 
     def reconnect(self) -> None:
         """The router is connected again, and receives what it has missed."""
-        self.up = True
+        self.connected = True
         self._catch_up()
 
     def repeat(self) -> None:
@@ -104,10 +104,10 @@
 
     def skip(self) -> None:
         """The next event will come under a number too high, as if one had been missed."""
-        self.skips = True
+        self.skips_sequence = True
 
     def _catch_up(self) -> None:
-        (last,) = struct.unpack(">Q", self.follower.hello())
+        (last,) = struct.unpack(">Q", self.decoder.hello())
         for frame in self.frames[last:]:
             self._deliver(frame)
 
@@ -115,7 +115,7 @@
         """Hands a frame to the follower; False if it wants to connect anew."""
         buffer = ReceiveBuffer(_BUFFER)
         buffer.append(data)
-        return all(self.follower.process(frame, self) for frame in frames(buffer))
+        return all(self.decoder.process(frame, self) for frame in frames(buffer))
 
     def on_discovery_event(self, event: DiscoveryEvent) -> None:
         """Called by the follower with each event; passes it to the observer, then to the router."""
@@ -127,12 +127,12 @@
             observer.purge_received(
                 ObservedPurge(self._harness.now, event.unix_time, event.purge_group, event.object_key)
             )
-        self._harness.route.on_discovery_event(event)
+        self._harness.router.on_discovery_event(event)
 
     def check_followed(self) -> None:
         """Checks that the router has received each event once, while it is connected."""
-        if self.up and not self.follower.last_sequence == self.received == len(self.frames):
-            self._harness.violated(
+        if self.connected and not self.decoder.last_sequence == self.received == len(self.frames):
+            self._harness.record_violation(
                 "log-followed",
-                f"{len(self.frames)} events, {self.received} received, last {self.follower.last_sequence}",
+                f"{len(self.frames)} events, {self.received} received, last {self.decoder.last_sequence}",
             )
--- a/edge_router/model_checker/model/harness.py
+++ b/edge_router/model_checker/model/harness.py
@@ -8,13 +8,13 @@
 from edge_router.decision.messages import Action, AttemptEnded, Event, StartAttempt
 from edge_router.model_checker import scope as bounds
 from edge_router.model_checker.model.endpoints import Endpoints
-from edge_router.model_checker.peers import ServerChannel
+from edge_router.model_checker.peers import CacheChannel
 from edge_router.model_checker.properties import Observer
 from edge_router.model_checker.scope import CLASSES, Scope
 from edge_router.proxy.dispatch import UpstreamConnection, connection_limit
 from edge_router.proxy.fastcgi_frontend import FastCgiFrontend
 from edge_router.proxy.request_router import RequestRouter
-from edge_router.runtime import event_log as ground_log
+from edge_router.runtime import event_log
 from edge_router.runtime.clock import Clock, CpuCredit
 from edge_router.runtime.memory_budget import MemoryBudget
 from edge_router.runtime.timers import Timers
@@ -60,96 +60,98 @@
         self._endpoints = endpoints
         self.observer = Observer(CLASSES, scope.attempts)
         self.activate()
-        self.t = START  # seconds
+        self.monotonic_now = START  # seconds
         self.clock = Clock(self._seconds, self._seconds)
         self.timers = Timers(self.clock, self._seconds)
         self.budget = MemoryBudget()
         self.budget.limit = MEMORY
         self.settings = bounds.settings(scope.attempts, scope.cancel)
         self.cpu = FixedCredit()
-        self.channels: list[ServerChannel] = []  # those whose end the router has not been notified of
-        self.route = RequestRouter(
+        self.channels: list[CacheChannel] = []  # those whose end the router has not been notified of
+        self.router = RequestRouter(
             self.settings, ROUTER_ID, self.clock, self.timers, self.budget, 0.0, self._connect
         )
-        self.route.admission.cpu_credit = self.cpu
-        for chooser in (self.route.admission, self.route._policy):
+        self.router.admission.cpu_credit = self.cpu
+        for chooser in (self.router.admission, self.router._policy):
             setattr(chooser, "_random", MiddleRandom())  # noqa: B010
-        setattr(self.route._policy, "handle", ObservedHandler(self))  # noqa: B010
-        self.route.dispatcher.max_connections = connection_limit(SOCKETS)
-        self.front = FastCgiFrontend(self.settings, self.route)
+        setattr(self.router._policy, "handle", ObservedHandler(self))  # noqa: B010
+        self.router.dispatcher.max_connections = connection_limit(SOCKETS)
+        self.front = FastCgiFrontend(self.settings, self.router)
         self.front.ready = True
-        self.term_at = math.inf  # the second at which all open requests are ended after SIGTERM
+        self.shutdown_deadline = math.inf  # the second at which all open requests are ended after SIGTERM
         self.expired = False
 
     def _seconds(self) -> float:
-        return self.t
+        return self.monotonic_now
 
     @property
     def now(self) -> float:
         """Unix milliseconds."""
-        return self.t * 1000.0
+        return self.monotonic_now * 1000.0
 
     def activate(self) -> None:
         """Makes this the core whose log lines are read; there may be several copies in the process."""
         global _active
         _active = self
-        ground_log.set_sink(_on_log_line)
+        event_log.set_sink(_on_log_line)
 
     # -- what the core calls, and what it reports --
 
-    def _connect(self, owner: Any, address: tuple[str, int], patience: float) -> ServerChannel:
-        assert isinstance(owner, UpstreamConnection)
-        process = self._endpoints.processes.get(address[1], 0)
-        channel = ServerChannel(self, owner, self.clock.now, process, self.t + patience)
+    def _connect(self, connection: Any, address: tuple[str, int], timeout: float) -> CacheChannel:
+        assert isinstance(connection, UpstreamConnection)
+        listening_endpoint_id = self._endpoints.listeners.get(address[1], 0)
+        channel = CacheChannel(
+            self, connection, self.clock.now, listening_endpoint_id, self.monotonic_now + timeout
+        )
         self.channels.append(channel)
         return channel
 
-    def violated(self, prop: str, why: str) -> None:
+    def record_violation(self, property_name: str, detail: str) -> None:
         """Records a violation of the property of that name."""
-        self.observer.violated(prop, why)
+        self.observer.record_violation(property_name, detail)
 
-    def fetch_started(self, channel: ServerChannel, txn: str, fields: dict[str, str]) -> None:
+    def fetch_started(self, channel: CacheChannel, request_id: str, fields: dict[str, str]) -> None:
         """The first byte of a fetch is written."""
-        if txn in channel.asked:
-            cls, name = self.observer.requests[txn].cls, self.channel_name(channel)
-            self.violated("one-id", f"id of {cls} is open already on {name}")
-        number = self._attempt_number(channel, txn)
+        if request_id in channel.pending_ids:
+            class_name, name = self.observer.requests[request_id].class_name, self.channel_name(channel)
+            self.record_violation("one-id", f"id of {class_name} is open already on {name}")
+        number = self._attempt_number(channel, request_id)
         source = int(fields["from"].removeprefix("s-"), 16) if "from" in fields else None
-        channel.numbers[txn] = number
-        self.observer.first_byte_sent(txn, number, channel.link.endpoint_id, source, self.now)
+        channel.attempt_numbers[request_id] = number
+        self.observer.first_byte_sent(request_id, number, channel.connection.endpoint_id, source, self.now)
 
-    def _attempt_number(self, channel: ServerChannel, txn: str) -> int:
+    def _attempt_number(self, channel: CacheChannel, request_id: str) -> int:
         """The number of the request's attempt on that connection; -1 if the router has none."""
-        for attempt, link in self.route.dispatcher._connection_of.items():
-            if link.channel is channel and attempt.request.incoming.request_id == txn:
+        for attempt, connection in self.router.dispatcher._connection_of.items():
+            if connection.channel is channel and attempt.request.incoming.request_id == request_id:
                 return attempt.index
         return -1
 
-    def txn_of(self, req: int) -> str | None:
+    def request_id_of(self, request_number: int) -> str | None:
         """The id of an open request; None for one that is over."""
-        request = self.route.requests.get(req)
+        request = self.router.requests.get(request_number)
         return request.incoming.request_id if request is not None else None
 
     def on_log_line(self, event: str, fields: dict[str, object]) -> None:
         """The core has logged an event."""
         if event == "internal-error":
-            self.violated("no-slip", f"{fields.get('where')}: {fields.get('error')}")
+            self.record_violation("no-slip", f"{fields.get('where')}: {fields.get('error')}")
         elif event == "backstop-timeout" and not self.expired:
-            self.violated("decided", f"request {fields.get('req')} was left to the backstop")
+            self.record_violation("decided", f"request {fields.get('req')} was left to the backstop")
 
     # -- connections to caches --
 
-    def channel_name(self, channel: ServerChannel) -> str:
+    def channel_name(self, channel: CacheChannel) -> str:
         """The node of a connection, and its place among the connections to that node."""
-        node = channel.link.endpoint_id
-        same = [other for other in self.channels if other.link.endpoint_id == node]
-        return f"{self._endpoints.name_of(node)}.{same.index(channel)}"
+        endpoint_id = channel.connection.endpoint_id
+        same = [other for other in self.channels if other.connection.endpoint_id == endpoint_id]
+        return f"{self._endpoints.name_of(endpoint_id)}.{same.index(channel)}"
 
-    def channel(self, name: str) -> ServerChannel:
+    def channel(self, name: str) -> CacheChannel:
         """The connection of that name; raises StopIteration if there is none."""
         return next(channel for channel in self.channels if self.channel_name(channel) == name)
 
-    def remove_channel(self, name: str) -> ServerChannel:
+    def remove_channel(self, name: str) -> CacheChannel:
         """Takes a connection that ends out of the list."""
         channel = self.channel(name)
         self.channels.remove(channel)
@@ -159,11 +161,15 @@
 
     def wait(self) -> None:
         """Lets time pass to the next alarm."""
-        self.t = max(self.t, self._next_time()) + CLOCK_STEP
+        self.monotonic_now = max(self.monotonic_now, self._next_time()) + CLOCK_STEP
 
     def _next_time(self) -> float:
-        times = [self.timers.next_due(), self.term_at if not self.expired else math.inf]
-        times += [channel.until for channel in self.channels if not channel.connected and not channel.closed]
+        times = [self.timers.next_due(), self.shutdown_deadline if not self.expired else math.inf]
+        times += [
+            channel.connect_deadline
+            for channel in self.channels
+            if not channel.connected and not channel.closed
+        ]
         return min(times)
 
     def run_timers(self) -> None:
@@ -172,7 +178,7 @@
 
     def decide(self) -> None:
         """Lets the core decide the requests that wait for it."""
-        self.route.run_decisions()
+        self.router.run_decisions()
 
     def idle(self) -> bool:
         """Whether no request, connection, decision or alarm is pending, but for the sweep of connections."""
@@ -180,35 +186,37 @@
             alarm.callback is not None and getattr(alarm.callback, "__name__", "") != "_sweep"
             for _, _, alarm in self.timers._heap
         )
-        stopping = self.term_at < math.inf and not self.expired
-        return not (alarms or len(self.route.requests) or self.channels or self.route._undecided or stopping)
+        stopping = self.shutdown_deadline < math.inf and not self.expired
+        return not (
+            alarms or len(self.router.requests) or self.channels or self.router._undecided or stopping
+        )
 
     # -- shutdown --
 
     def terminate(self) -> None:
         """The router receives SIGTERM."""
-        self.term_at = self.t + SHUTDOWN_GRACE
-        self.route.admission.answer_by = self.now + SHUTDOWN_GRACE * 1000.0
+        self.shutdown_deadline = self.monotonic_now + SHUTDOWN_GRACE
+        self.router.admission.answer_by = self.now + SHUTDOWN_GRACE * 1000.0
 
     def expire(self) -> None:
         """The time that SIGTERM left is over."""
         self.expired = True
-        self.route.expire_all()
+        self.router.expire_all()
 
     # -- limits --
 
-    def strained(self) -> bool:
+    def limits_lowered(self) -> bool:
         """Whether any of the router's limits is lower than at the start."""
         return (
             self.budget.limit < MEMORY
-            or self.route.dispatcher.max_connections < connection_limit(SOCKETS)
+            or self.router.dispatcher.max_connections < connection_limit(SOCKETS)
             or self.cpu.saved < 0
         )
 
     def restore_limits(self) -> None:
         """Sets all limits as at the start."""
         self.budget.limit = MEMORY
-        self.route.dispatcher.max_connections = connection_limit(SOCKETS)
+        self.router.dispatcher.max_connections = connection_limit(SOCKETS)
         self.cpu.saved = 0.0
 
     def exhaust_memory(self) -> None:
@@ -219,9 +227,13 @@
         """Leaves the router over its share of CPU."""
         self.cpu.saved = -1.0
 
-    def limit_links(self, most: int) -> None:
+    def limit_connections_to_present(self) -> None:
+        """Allows no further connection to caches."""
+        self.limit_connections(self.router.dispatcher.connection_count())
+
+    def limit_connections(self, max_connections: int) -> None:
         """Allows so many connections to caches."""
-        self.route.dispatcher.max_connections = most
+        self.router.dispatcher.max_connections = max_connections
 
 
 _active: Harness | None = None
@@ -237,14 +249,16 @@
 
     def __init__(self, harness: Harness) -> None:
         self._harness = harness
-        self._director = harness.route._policy
+        self._policy = harness.router._policy
 
     def __call__(self, now: float, event: Event) -> list[Action]:
         harness = self._harness
-        if isinstance(event, AttemptEnded) and (txn := harness.txn_of(event.request_number)):
-            harness.observer.attempt_ended(txn, event.attempt_index, event.outcome)
-        actions = type(self._director).handle(self._director, now, event)
+        if isinstance(event, AttemptEnded) and (request_id := harness.request_id_of(event.request_number)):
+            harness.observer.attempt_ended(request_id, event.attempt_index, event.outcome)
+        actions = type(self._policy).handle(self._policy, now, event)
         for action in actions:
-            if isinstance(action, StartAttempt) and (txn := harness.txn_of(action.request_number)):
-                harness.observer.attempt_ordered(txn)
+            if isinstance(action, StartAttempt) and (
+                request_id := harness.request_id_of(action.request_number)
+            ):
+                harness.observer.attempt_ordered(request_id)
         return actions
--- a/edge_router/model_checker/model/router_model.py
+++ b/edge_router/model_checker/model/router_model.py
@@ -8,8 +8,8 @@
 from edge_router.model_checker.model.state import ModelState
 from edge_router.model_checker.scope import Scope
 
-MOST_SETTLING_STEPS = 400  # default steps within which everything must be quiet
-IMMEDIATE_WORDS = ("end", "decide")  # the router's turns that a coarse scope takes at once
+MAX_SETTLING_STEPS = 400  # default steps within which everything must be quiet
+IMMEDIATE_STEPS = ("end", "decide")  # the router's turns that a coarse scope takes at once
 
 
 class RouterModel:
@@ -48,7 +48,7 @@
 
     def _immediate_turn(self) -> str | None:
         turns = steps.router_steps(self.state)
-        return next((turn for turn in turns if turn.startswith(IMMEDIATE_WORDS)), None)
+        return next((turn for turn in turns if turn.startswith(IMMEDIATE_STEPS)), None)
 
     def _check(self) -> None:
         """Checks what must hold between any two steps."""
@@ -56,10 +56,10 @@
         if not state.clients.session.stalled():
             harness.observer.check_overdue(harness.now)
         state.change_log.check_followed()
-        for attempt in harness.route.dispatcher._connection_of:
+        for attempt in harness.router.dispatcher._connection_of:
             if attempt.request.answered and harness.settings.cancellation_allowed:
-                cls = attempt.request.incoming.class_name
-                harness.violated("cancelled", f"attempt {attempt.index} of {cls} stays out")
+                class_name = attempt.request.incoming.class_name
+                harness.record_violation("cancelled", f"attempt {attempt.index} of {class_name} stays out")
         state.caches.check_connections()
 
     def default(self) -> str | None:
@@ -74,13 +74,13 @@
         session = self.state.clients.session
         if session.stalled() and not session.closing:
             self.do("unstall")
-        for _ in range(MOST_SETTLING_STEPS):
+        for _ in range(MAX_SETTLING_STEPS):
             step = self.default()
             if step is None or self.violations:
                 break
             self.do(step)
         else:
-            self.state.harness.violated("ends", f"not quiet after {MOST_SETTLING_STEPS} steps")
+            self.state.harness.record_violation("ends", f"not quiet after {MAX_SETTLING_STEPS} steps")
         if not self.violations:
             settling.check_end(self.state)
 
--- a/edge_router/model_checker/model/settling.py
+++ b/edge_router/model_checker/model/settling.py
@@ -8,29 +8,29 @@
 def check_end(state: ModelState) -> None:
     """Checks, in a quiet state, that every request has ended and that nothing is leaked."""
     for request in state.harness.observer.open_requests():
-        state.harness.violated("ends", f"{request.cls} is open, and nothing more will happen")
+        state.harness.record_violation("ends", f"{request.class_name} is open, and nothing more will happen")
     for name, count in held_resources(state).items():
         if count:
-            state.harness.violated("no-leak", f"{name}: {count} when all is quiet")
+            state.harness.record_violation("no-leak", f"{name}: {count} when all is quiet")
 
 
 def held_resources(state: ModelState) -> dict[str, float]:
     """How much of each kind of resource the router holds; all are 0 in a quiet state."""
-    route, director, session = state.harness.route, state.harness.route._policy, state.clients.session
-    loads = [*director._loads.values(), director._link]
+    router, policy, session = state.harness.router, state.harness.router._policy, state.clients.session
+    loads = [*policy._loads.values(), policy._link]
     session_ids = 0 if session.finished else len(session._decoder.open)
     unsent_answers = 0 if session.finished else len(session._answers) + session._unsent
     attempts_out = sum(abs(load.out) for load in loads)
     work_out = round(sum(abs(load.work) for load in loads), 6)
     return {
-        "open requests": len(route.requests),
-        "request ids": len(route.requests._by_request_id),
-        "connections": route.dispatcher.connection_count(),
-        "attempts on connections": len(route.dispatcher._connection_of),
+        "open requests": len(router.requests),
+        "request ids": len(router.requests._by_request_id),
+        "connections": router.dispatcher.connection_count(),
+        "attempts on connections": len(router.dispatcher._connection_of),
         "bytes of the budget": state.harness.budget._used,
         "requests of the front": len(state.harness.front._open),
         "ids of the client": session_ids,
         "answers unsent": unsent_answers,
-        "requests in the module": len(director._held),
+        "requests in the module": len(policy._held),
         "load in the module": attempts_out + work_out,
     }
--- a/edge_router/model_checker/model/steps.py
+++ b/edge_router/model_checker/model/steps.py
@@ -9,64 +9,67 @@
 from collections.abc import Callable
 
 from edge_router.decision.messages import EndpointState
-from edge_router.model_checker.model.clients import txn_id
+from edge_router.model_checker.model.clients import request_id_at
 from edge_router.model_checker.model.state import ModelState
 from edge_router.model_checker.scope import ALL_FAULTS, ANSWERS, NORMAL_ANSWERS
 
 DIGITS = "0123456789"
 
-# What each word does, but for the answers of caches (`ANSWERS`) and for `choke`, which has a number in it.
-ACTIONS: dict[str, Callable[..., None]] = {
-    # time and the router's own turns
+# By the word of a step without arguments: what it does.
+ACTIONS: dict[str, Callable[[ModelState], None]] = {
     "wait": lambda state: state.harness.wait(),
     "fire": lambda state: state.harness.run_timers(),
     "decide": lambda state: state.harness.decide(),
     "expire": lambda state: state.harness.expire(),
-    "end": lambda state, name: state.caches.end(name),
-    "notup": lambda state, name: state.caches.give_up_connecting(name),
     "endsession": lambda state: state.clients.end_session(),
-    # clients
-    "ask": lambda state, place: state.clients.ask(int(place)),
-    "abort": lambda state, place: state.clients.abort(int(place)),
-    "retry": lambda state, place: state.clients.retry(int(place)),
-    "leave": lambda state: state.clients.leave(),
+    "leave": lambda state: state.clients.disconnect(),
     "stall": lambda state: state.clients.stall(),
     "unstall": lambda state: state.clients.unstall(),
-    # connections to caches
+    "join": lambda state: state.change_log.join(),
+    "purge": lambda state: state.change_log.purge(state.clients.purged_object()),
+    "purgeall": lambda state: state.change_log.purge_group(),
+    "cut": lambda state: state.change_log.cut(),
+    "mend": lambda state: state.change_log.reconnect(),
+    "repeat": lambda state: state.change_log.repeat(),
+    "gap": lambda state: state.change_log.skip(),
+    "term": lambda state: state.harness.terminate(),
+    "reload": lambda state: state.harness.limit_connections(1),
+    "nomem": lambda state: state.harness.exhaust_memory(),
+    "nocpu": lambda state: state.harness.exhaust_cpu(),
+    "nolinks": lambda state: state.harness.limit_connections_to_present(),
+    "relief": lambda state: state.harness.restore_limits(),
+}
+# By the word of a step of a client, with the place of the request in the scope.
+REQUEST_ACTIONS: dict[str, Callable[[ModelState, int], None]] = {
+    "ask": lambda state, place: state.clients.send_request(place),
+    "abort": lambda state, place: state.clients.abort(place),
+    "retry": lambda state, place: state.clients.retry(place),
+}
+# By the word of a step of a connection or an endpoint, with its name.
+TARGET_ACTIONS: dict[str, Callable[[ModelState, str], None]] = {
+    "end": lambda state, name: state.caches.end(name),
+    "notup": lambda state, name: state.caches.give_up_connecting(name),
     "up": lambda state, name: state.caches.establish(name),
     "refuse": lambda state, name: state.caches.refuse(name),
     "never": lambda state, name: state.caches.never_establish(name),
-    "lack": lambda state, name: state.caches.lack_descriptor(name),
+    "lack": lambda state, name: state.caches.run_out_of_descriptors(name),
     "flush": lambda state, name: state.caches.flush(name),
     "reset": lambda state, name: state.caches.reset(name),
     "hangup": lambda state, name: state.caches.hang_up(name),
-    # answers that are faults of the cache
-    "second": lambda state, name, place: state.caches.answer_again(name, int(place)),
     "stray": lambda state, name: state.caches.answer_unknown(name),
-    "spoil": lambda state, name, place: state.caches.answer_unreadable(name, int(place)),
-    "half": lambda state, name, place: state.caches.answer_half_and_reset(name, int(place)),
-    "trickle": lambda state, name, place: state.caches.answer_half(name, int(place)),
     "rest": lambda state, name: state.caches.answer_rest(name),
-    # the endpoint list and its change log
     "drain": lambda state, name: state.change_log.drain(name),
     "back": lambda state, name: state.change_log.undrain(name),
     "gone": lambda state, name: state.change_log.remove(name),
     "restart": lambda state, name: state.change_log.restart(name),
     "replace": lambda state, name: state.change_log.replace(name),
-    "join": lambda state: state.change_log.join(),
-    "purge": lambda state: state.change_log.purge(state.clients.purged_object()),
-    "purgeall": lambda state: state.change_log.purge_group(),
-    "cut": lambda state: state.change_log.cut(),
-    "mend": lambda state: state.change_log.reconnect(),
-    "repeat": lambda state: state.change_log.repeat(),
-    "gap": lambda state: state.change_log.skip(),
-    # the router's limits
-    "term": lambda state: state.harness.terminate(),
-    "reload": lambda state: state.harness.limit_links(1),
-    "nomem": lambda state: state.harness.exhaust_memory(),
-    "nocpu": lambda state: state.harness.exhaust_cpu(),
-    "nolinks": lambda state: state.harness.limit_links(state.harness.route.dispatcher.connection_count()),
-    "relief": lambda state: state.harness.restore_limits(),
+}
+# By the word of a faulty answer, with the connection and the place of the request.
+ANSWER_ACTIONS: dict[str, Callable[[ModelState, str, int], None]] = {
+    "second": lambda state, name, place: state.caches.answer_again(name, place),
+    "spoil": lambda state, name, place: state.caches.answer_unreadable(name, place),
+    "half": lambda state, name, place: state.caches.answer_half_and_reset(name, place),
+    "trickle": lambda state, name, place: state.caches.answer_half(name, place),
 }
 
 # The part that the steps of a word stay within, where they never reach the decision module.
@@ -91,8 +94,14 @@
         state.faults -= 1
     if kind == "choke":
         state.caches.choke(arguments[0], int(word.removeprefix(kind)))
+    elif word in ACTIONS:
+        ACTIONS[word](state)
+    elif word in REQUEST_ACTIONS:
+        REQUEST_ACTIONS[word](state, int(arguments[0]))
+    elif word in TARGET_ACTIONS:
+        TARGET_ACTIONS[word](state, arguments[0])
     else:
-        ACTIONS[word](state, *arguments)
+        ANSWER_ACTIONS[word](state, arguments[0], int(arguments[1]))
 
 
 # -- which steps are enabled --
@@ -104,11 +113,11 @@
     steps = state.caches.router_steps()
     if session.closing and not session.finished:
         steps.append("endsession")
-    if harness.route._undecided:
+    if harness.router._undecided:
         steps.append("decide")
-    if harness.timers.next_due() <= harness.t:
+    if harness.timers.next_due() <= harness.monotonic_now:
         steps.append("fire")
-    if harness.t >= harness.term_at and not harness.expired:
+    if harness.monotonic_now >= harness.shutdown_deadline and not harness.expired:
         steps.append("expire")
     return steps
 
@@ -123,7 +132,7 @@
     for channel in state.harness.channels:
         steps += state.caches.enabled(channel, fault_allowed)
     if fault_allowed:
-        steps += _node_faults(state)
+        steps += _endpoint_faults(state)
         steps += _change_log_faults(state)
         steps += state.clients.connection_faults()
         steps += _limit_faults(state)
@@ -131,16 +140,16 @@
     return steps
 
 
-def _node_faults(state: ModelState) -> list[str]:
+def _endpoint_faults(state: ModelState) -> list[str]:
     steps = []
     kinds = state.scope.kinds
     for name in state.scope.targets:
-        if name not in state.endpoints.nodes:
+        if name not in state.endpoints.ids:
             continue
-        node_state = state.endpoints.state_of(name)
-        if node_state is EndpointState.READY:
+        endpoint_state = state.endpoints.state_of(name)
+        if endpoint_state is EndpointState.READY:
             possible: tuple[str, ...] = ("drain", "gone", "replace", "restart")
-        elif node_state is EndpointState.DRAINING:
+        elif endpoint_state is EndpointState.DRAINING:
             possible = ("gone", "back")
         else:
             possible = ()
@@ -150,25 +159,25 @@
 
 def _change_log_faults(state: ModelState) -> list[str]:
     possible = ["join"]
-    if state.change_log.up:
+    if state.change_log.connected:
         possible += ["cut", "repeat"]
-        if not state.change_log.skips:
+        if not state.change_log.skips_sequence:
             possible.append("gap")
     possible += ["purge", "purgeall"]
     return [kind for kind in possible if kind in state.scope.kinds]
 
 
 def _limit_faults(state: ModelState) -> list[str]:
-    possible = ["term"] if state.harness.term_at == math.inf else []
+    possible = ["term"] if state.harness.shutdown_deadline == math.inf else []
     possible += ["reload", "nomem", "nocpu", "nolinks"]
     return [kind for kind in possible if kind in state.scope.kinds]
 
 
 def _recoveries(state: ModelState) -> list[str]:
     steps, session = [], state.clients.session
-    if not state.change_log.up:
+    if not state.change_log.connected:
         steps.append("mend")
-    if state.scope.relief and state.harness.strained():
+    if state.scope.relief and state.harness.limits_lowered():
         steps.append("relief")
     if session.stalled() and not session.closing:
         steps.append("unstall")
@@ -197,14 +206,14 @@
 def _touched_channel(state: ModelState, kind: str, arguments: list[str]) -> str | None:
     """The name of the connection that a step stays within; None if there is no such connection."""
     if kind in ("up", "flush"):
-        confined = state.caches.commands_will_go(state.harness.channel(arguments[0]))
+        confined = state.caches.commands_will_be_sent(state.harness.channel(arguments[0]))
     elif kind in ("choke", "never", "stray"):
         confined = True
     elif kind in ("reset", "hangup"):
         confined = state.scope.fine  # the router notices in a step of its own
     elif kind == "second":
-        txn = txn_id(int(arguments[1]))
-        confined = txn not in state.harness.channel(arguments[0]).link.attempts
+        request_id = request_id_at(int(arguments[1]))
+        confined = request_id not in state.harness.channel(arguments[0]).connection.attempts
     else:
         confined = False
     return arguments[0] if confined else None
--- a/edge_router/model_checker/mutation_run.py
+++ b/edge_router/model_checker/mutation_run.py
@@ -116,7 +116,9 @@
         if self.found is None or self.where in (CODECS, CHANNEL):
             return None
         violation = self.found.violation
-        return Trace(named(SMALL, self.where), self.found.steps, violation.prop, violation.why, self.name)
+        return Trace(
+            named(SMALL, self.where), self.found.steps, violation.property_name, violation.detail, self.name
+        )
 
 
 def search_mutation(name: str) -> MutationResult:
@@ -147,8 +149,10 @@
     return explore(named(SMALL, scope), workers, Options(stop_at_first=True), mutation)
 
 
-def _expected_or_first(found: list[Found], prop: str) -> Found:
-    return next((one for one in found if one.violation.prop == prop), found[0])
+def _expected_or_first(found: list[Found], property_name: str) -> Found:
+    return next(
+        (candidate for candidate in found if candidate.violation.property_name == property_name), found[0]
+    )
 
 
 def search_mutations(names: list[str], processes: int) -> list[MutationResult]:
@@ -171,7 +175,9 @@
             walk(factory, seed, steps, walks)
             if walks.found:
                 found = walks.found[0]
-                walks.found[0] = Found(shrink(factory, found.steps, found.violation.prop), found.violation)
+                walks.found[0] = Found(
+                    shrink(factory, found.steps, found.violation.property_name), found.violation
+                )
                 break
     finally:
         mutations.plant("")
--- a/edge_router/model_checker/peers.py
+++ b/edge_router/model_checker/peers.py
@@ -30,29 +30,29 @@
 class ChannelObserver(Protocol):
     """Is notified of what happens on the connections to caches."""
 
-    def violated(self, prop: str, why: str) -> None:
+    def record_violation(self, property_name: str, detail: str) -> None:
         """A property does not hold."""
 
-    def fetch_started(self, channel: ServerChannel, txn: str, fields: dict[str, str]) -> None:
+    def fetch_started(self, channel: CacheChannel, request_id: str, fields: dict[str, str]) -> None:
         """The first byte of a fetch is written."""
 
 
 @dataclass(frozen=True, slots=True)
-class PartialAnswer:
+class PartialResponse:
     """An answer of which the first half was sent."""
 
-    txn: str
+    request_id: str
     body: bytes
-    born: float  # Unix milliseconds
+    created_at: float  # Unix milliseconds
 
 
-class LinkSocket:
+class UpstreamSocket:
     """The router's end of a connection to a cache."""
 
-    def __init__(self, observer: ChannelObserver, channel: ServerChannel) -> None:
+    def __init__(self, observer: ChannelObserver, channel: CacheChannel) -> None:
         self._observer = observer
         self._channel = channel
-        self.room: int | None = None  # bytes that it still accepts; None: any number
+        self.writable_bytes: int | None = None  # bytes that it still accepts; None: any number
         self.end: SocketEnd | None = None
         self._remaining = b""  # what is still to be written of the command in progress
         self._command = b""  # the complete command in progress
@@ -61,21 +61,21 @@
         """Accepts bytes, and reports each command when its first byte is written."""
         if self.end is SocketEnd.RESET:
             raise ConnectionResetError("reset by the server")
-        count = len(data) if self.room is None else min(self.room, len(data))
+        count = len(data) if self.writable_bytes is None else min(self.writable_bytes, len(data))
         if not count:
             raise BlockingIOError
-        if self.room is not None:
-            self.room -= count
+        if self.writable_bytes is not None:
+            self.writable_bytes -= count
         starts = not self._remaining
         if starts and self.end:
-            self._observer.violated("not-into-ended", "a command begins after the server's end")
+            self._observer.record_violation("not-into-ended", "a command begins after the server's end")
         if not starts and bytes(data) != self._remaining:
-            self._observer.violated("order-kept", "a command is not written to its end")
+            self._observer.record_violation("order-kept", "a command is not written to its end")
         if starts:
             self._command = bytes(data)
         self._remaining = bytes(data[count:])
-        if starts and (found := _FETCH.match(bytes(data))):
-            self._observer.fetch_started(self._channel, found[1].decode(), resp.fields_of(found[2]))
+        if starts and (match := _FETCH.match(bytes(data))):
+            self._observer.fetch_started(self._channel, match[1].decode(), resp.fields_of(match[2]))
         if not self._remaining and not self.end:
             self._channel.command_received(self._command)
         return count
@@ -89,49 +89,51 @@
         raise BlockingIOError
 
 
-class ServerChannel(UpstreamChannel):
+class CacheChannel(UpstreamChannel):
     """A connection to a cache, with its I/O driven by the model."""
 
     def __init__(
         self,
         observer: ChannelObserver,
-        link: UpstreamConnection,
+        connection: UpstreamConnection,
         clock: Callable[[], float],
-        process: int,
-        until: float,
+        listening_endpoint_id: int,
+        connect_deadline: float,
     ) -> None:
-        super().__init__(link, clock)
-        self.link = link
+        super().__init__(connection, clock)
+        self.connection = connection
         self.observer = observer
-        self.until = until  # the second at which the router gives up connecting
-        self.process = process  # the node that listened at the address when it was dialled
-        self.silent = False  # the connection will never be established
-        self.sock = LinkSocket(observer, self)
-        self.asked: list[str] = []  # ids of requests that the cache has received and not answered
-        self.aborted: list[str] = []  # ids among them that the router has aborted
-        self.done: list[str] = []  # ids that the cache has answered
-        self.last: dict[str, bytes] = {}  # by id: the last answer
-        self.numbers: dict[str, int] = {}  # by id: the number of the attempt
+        self.connect_deadline = connect_deadline  # the second at which the router gives up connecting
+        self.listening_endpoint_id = (
+            listening_endpoint_id  # the node that listened at the address when it was dialled
+        )
+        self.never_connects = False  # the connection will never be established
+        self.sock = UpstreamSocket(observer, self)
+        self.pending_ids: list[str] = []  # ids of requests that the cache has received and not answered
+        self.aborted_ids: list[str] = []  # ids among them that the router has aborted
+        self.answered_ids: list[str] = []  # ids that the cache has answered
+        self.last_responses: dict[str, bytes] = {}  # by id: the last answer
+        self.attempt_numbers: dict[str, int] = {}  # by id: the number of the attempt
         self.unsent = b""  # the second half of an answer in progress
-        self.partial: PartialAnswer | None = None  # and the answer that it belongs to
+        self.partial: PartialResponse | None = None  # and the answer that it belongs to
 
     def _stop(self) -> None:
         pass  # the owner is notified of the end by a step of its own
 
     def command_received(self, command: bytes) -> None:
         """A complete command has reached the cache."""
-        if found := _FETCH.match(command):
-            self.asked.append(found[1].decode())
-        elif (found := _ABORT.match(command)) and (txn := found[1].decode()) in self.asked:
-            self.aborted.append(txn)
+        if match := _FETCH.match(command):
+            self.pending_ids.append(match[1].decode())
+        elif (match := _ABORT.match(command)) and (request_id := match[1].decode()) in self.pending_ids:
+            self.aborted_ids.append(request_id)
 
-    def answered(self, txn: str, data: bytes) -> None:
+    def record_response(self, request_id: str, data: bytes) -> None:
         """The cache has answered a request."""
-        self.asked.remove(txn)
-        if txn in self.aborted:
-            self.aborted.remove(txn)
-        self.done.append(txn)
-        self.last[txn] = data
+        self.pending_ids.remove(request_id)
+        if request_id in self.aborted_ids:
+            self.aborted_ids.remove(request_id)
+        self.answered_ids.append(request_id)
+        self.last_responses[request_id] = data
 
     def deliver(self, data: bytes) -> None:
         """Hands in bytes from the cache; bytes that can't be read end the connection."""
@@ -142,7 +144,7 @@
             self.closed = True
             self._why = str(error)
         except Exception as error:  # the router would log a bug and end the connection
-            self.observer.violated("no-slip", repr(error))
+            self.observer.record_violation("no-slip", repr(error))
             self.closed = True
 
 
@@ -151,19 +153,19 @@
 
     def __init__(self, record_received: Callable[[int, int, bytes], None]) -> None:
         self._record_received = record_received  # called with type, id and content
-        self.room: int | None = None  # bytes that it still accepts; None: any number
+        self.writable_bytes: int | None = None  # bytes that it still accepts; None: any number
         self._data = b""
-        self.gone = False
+        self.disconnected = False
 
     def send(self, data: bytes | memoryview, /) -> int:
         """Accepts bytes, and reports each complete record."""
-        if self.gone:
+        if self.disconnected:
             raise ConnectionResetError("reset by the client")
-        count = len(data) if self.room is None else min(self.room, len(data))
+        count = len(data) if self.writable_bytes is None else min(self.writable_bytes, len(data))
         if not count:
             raise BlockingIOError
-        if self.room is not None:
-            self.room -= count
+        if self.writable_bytes is not None:
+            self.writable_bytes -= count
         self._data += bytes(data[:count])
         while len(self._data) >= _RECORD.size:
             _, kind, ident, length, padding, _ = _RECORD.unpack_from(self._data)
@@ -200,11 +202,11 @@
 
     def stalled(self) -> bool:
         """Whether the client accepts no bytes."""
-        return self.sock.room is not None
+        return self.sock.writable_bytes is not None
 
     def unstall(self) -> None:
         """The client accepts bytes again."""
-        self.sock.room = None
+        self.sock.writable_bytes = None
         if self._full:
             self.on_writable()
 
@@ -221,10 +223,10 @@
 class ClientRequestFields:
     """What a client sends in a request."""
 
-    cls: str
-    txn: str
-    item: int  # the key of the object
-    ttl: float  # milliseconds that the client waits
+    class_name: str
+    request_id: str
+    object_key: int  # the key of the object
+    timeout: float  # milliseconds that the client waits
     etag: str | None  # the tag of the copy that the client has
     body: bytes
     idempotency_key: str | None
@@ -233,10 +235,10 @@
 def request_bytes(ident: int, request: ClientRequestFields) -> bytes:
     """The FastCGI records of a complete request."""
     pairs = {
-        "SCRIPT_NAME": f"/svc/{request.cls}",
-        "HTTP_X_TXN": request.txn,
-        "HTTP_X_TTL_MS": f"{request.ttl:.0f}",
-        "HTTP_X_ROW": f"{request.item:016x}",
+        "SCRIPT_NAME": f"/svc/{request.class_name}",
+        "HTTP_X_TXN": request.request_id,
+        "HTTP_X_TTL_MS": f"{request.timeout:.0f}",
+        "HTTP_X_ROW": f"{request.object_key:016x}",
         "HTTP_X_BUCKET": "3",
         "HTTP_X_WORKING_SET_KB": "10",
     }
--- a/edge_router/model_checker/properties.py
+++ b/edge_router/model_checker/properties.py
@@ -20,13 +20,13 @@
     """A rule, and the page that it is from."""
 
     name: str
-    text: str
+    rule: str
     source: str
 
 
 PROPERTIES = {
-    prop.name: prop
-    for prop in (
+    rule.name: rule
+    for rule in (
         Property(
             "one-answer",
             "a taken request gets one final answer, and one only",
@@ -113,16 +113,16 @@
 
     OPEN = "open"
     ANSWERED = "answered"
-    LEFT = "left"  # its client has stopped waiting
-    LOST = "lost"  # it was reported as overdue
+    CLIENT_DISCONNECTED = "left"  # its client has stopped waiting
+    OVERDUE = "lost"  # it was reported as overdue
 
 
-class Verdict(StrEnum):
+class ResponseKind(StrEnum):
     """The kind of answer that a client has received."""
 
     SERVED = "served"
-    UNCHANGED = "unchanged"  # the client's own copy is still good
-    REFUSED = "refused"
+    NOT_MODIFIED = "unchanged"  # the client's own copy is still good
+    REJECTED = "refused"
     FAILED = "failed"
 
 
@@ -131,18 +131,18 @@
     """An attempt whose first byte was seen on a socket."""
 
     number: int
-    node: int
+    endpoint_id: int
     sent_at: float  # Unix milliseconds
     known_purges: int = 0  # how many purges the router had been notified of before
     not_run: bool = False  # the cache itself said that it did not run the request
-    over: bool = False
+    ended: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class ObservedCopy:
     """The copy in an answer that has reached the router. Times are Unix milliseconds."""
 
-    born: float
+    created_at: float
     sent_at: float  # the first byte of the attempt
     known_purges: int
 
@@ -154,28 +154,32 @@
     notified_at: float
     purged_at: float
     group: int
-    key: int  # 0 for a purge of the whole group
+    object_key: int  # 0 for a purge of the whole group
 
 
 @dataclass(slots=True)
 class ObservedRequest:
     """A request as its client sees it."""
 
-    cls: str
-    due: float  # Unix milliseconds by which it must be answered
+    class_name: str
+    deadline: float  # Unix milliseconds by which it must be answered
     state: RequestState = RequestState.OPEN
     attempts: list[ObservedAttempt] = field(default_factory=list)
-    ended: list[int] = field(default_factory=list)  # attempts whose end the decision module was notified of
-    orders: int = 0
+    ended_attempts: list[int] = field(
+        default_factory=list
+    )  # attempts whose end the decision module was notified of
+    ordered_attempts: int = 0
     copies: dict[bytes, ObservedCopy] = field(default_factory=dict)  # by the body of the answer
-    codes: dict[int, str] = field(default_factory=dict)  # by attempt: the answer code that reached the router
+    status_codes: dict[int, str] = field(
+        default_factory=dict
+    )  # by attempt: the answer code that reached the router
 
     def attempt(self, number: int) -> ObservedAttempt | None:
         """The attempt of that number, if its first byte was seen."""
         return next((attempt for attempt in self.attempts if attempt.number == number), None)
 
 
-MOST_VIOLATIONS = 8  # further ones of the same run are not recorded
+MAX_VIOLATIONS = 8  # further ones of the same run are not recorded
 TOLERANCE = 1.0  # ms by which rounding may move a time
 NOT_RUN_CODES = ("404", "503", "504")
 COPY_CODES = ("200", "304")
@@ -187,188 +191,218 @@
 class Observer:
     """Watches a run and records which properties are violated."""
 
-    def __init__(self, classes: dict[str, ClassSettings], most_attempts: int) -> None:
+    def __init__(self, classes: dict[str, ClassSettings], max_attempts: int) -> None:
         self._classes = classes
-        self._most_attempts = most_attempts
+        self._max_attempts = max_attempts
         self.violations: list[Violation] = []
-        self.nodes: dict[int, Endpoint] = {}
+        self.endpoints: dict[int, Endpoint] = {}
         self.purges: list[ObservedPurge] = []
         self.requests: dict[str, ObservedRequest] = {}
 
-    def violated(self, prop: str, why: str) -> None:
+    def record_violation(self, property_name: str, detail: str) -> None:
         """Records a violation of the property of that name."""
-        assert prop in PROPERTIES, prop
-        if len(self.violations) < MOST_VIOLATIONS:
-            self.violations.append(Violation(prop, why))
+        assert property_name in PROPERTIES, property_name
+        if len(self.violations) < MAX_VIOLATIONS:
+            self.violations.append(Violation(property_name, detail))
 
     # -- the change log --
 
-    def endpoints_received(self, nodes: tuple[Endpoint, ...], complete: bool) -> None:
+    def endpoints_received(self, endpoints: tuple[Endpoint, ...], complete: bool) -> None:
         """The router was sent a complete list of nodes, or the nodes that have changed."""
         if complete:
-            self.nodes = {}
-        for node in nodes:
-            self.nodes[node.endpoint_id] = node
+            self.endpoints = {}
+        for endpoint in endpoints:
+            self.endpoints[endpoint.endpoint_id] = endpoint
 
     def purge_received(self, purge: ObservedPurge) -> None:
         """The router was notified of a purge."""
         self.purges.append(purge)
 
-    def _ready(self, node: int) -> bool:
-        return node in self.nodes and self.nodes[node].state is EndpointState.READY
+    def _is_ready(self, endpoint_id: int) -> bool:
+        return endpoint_id in self.endpoints and self.endpoints[endpoint_id].state is EndpointState.READY
 
     # -- attempts on sockets --
 
-    def first_byte_sent(self, txn: str, number: int, node: int, source: int | None, now: float) -> None:
+    def first_byte_sent(
+        self, request_id: str, number: int, endpoint_id: int, source_id: int | None, now: float
+    ) -> None:
         """The first byte of an attempt was written to the socket of a node."""
-        request = self.requests[txn]
-        self._check_targets(request, number, node, source)
-        self._check_repetition(request, number, node, now)
-        request.attempts.append(ObservedAttempt(number, node, now, len(self.purges)))
-        if len(request.attempts) > self._most_attempts:
-            self.violated("allowed-attempts", f"{len(request.attempts)} attempts of {request.cls} on sockets")
-
-    def _check_targets(self, request: ObservedRequest, number: int, node: int, source: int | None) -> None:
-        if not self._ready(node):
-            self.violated("no-drained", f"attempt {number} of {request.cls} goes to s-{node:08x}")
-        if source is not None and not self._ready(source):
-            self.violated(
-                "no-drained-source", f"attempt {number} of {request.cls} is filled from s-{source:08x}"
+        request = self.requests[request_id]
+        self._check_targets(request, number, endpoint_id, source_id)
+        self._check_repetition(request, number, endpoint_id, now)
+        request.attempts.append(ObservedAttempt(number, endpoint_id, now, len(self.purges)))
+        if len(request.attempts) > self._max_attempts:
+            self.record_violation(
+                "allowed-attempts", f"{len(request.attempts)} attempts of {request.class_name} on sockets"
             )
 
-    def _check_repetition(self, request: ObservedRequest, number: int, node: int, now: float) -> None:
-        name, cls = request.cls, self._classes[request.cls]
+    def _check_targets(
+        self, request: ObservedRequest, number: int, endpoint_id: int, source_id: int | None
+    ) -> None:
+        if not self._is_ready(endpoint_id):
+            self.record_violation(
+                "no-drained", f"attempt {number} of {request.class_name} goes to s-{endpoint_id:08x}"
+            )
+        if source_id is not None and not self._is_ready(source_id):
+            self.record_violation(
+                "no-drained-source",
+                f"attempt {number} of {request.class_name} is filled from s-{source_id:08x}",
+            )
+
+    def _check_repetition(self, request: ObservedRequest, number: int, endpoint_id: int, now: float) -> None:
+        name, settings = request.class_name, self._classes[request.class_name]
         if request.attempt(number) is not None:
-            self.violated("no-repeat", f"attempt {number} of {name} is written twice")
+            self.record_violation("no-repeat", f"attempt {number} of {name} is written twice")
         for sent in request.attempts:
-            if sent.not_run or cls.idempotency is Idempotency.IDEMPOTENT:
+            if sent.not_run or settings.idempotency is Idempotency.IDEMPOTENT:
                 continue
-            if cls.idempotency is Idempotency.NONE:
-                self.violated("no-repeat", f"attempt {number} of {name} goes out; {sent.number} may have run")
-            elif not self._same_group(cls, sent.node, node):
-                self.violated("no-repeat", f"attempt {number} of {name} leaves the group of {sent.number}")
-            elif now - sent.sent_at > cls.deduplication_window + TOLERANCE:
-                self.violated("no-repeat", f"attempt {number} of {name} goes out after its window")
-
-    def _same_group(self, cls: ClassSettings, one: int, other: int) -> bool:
-        if cls.deduplication_scope is DeduplicationScope.ALL or one == other:
+            if settings.idempotency is Idempotency.NONE:
+                self.record_violation(
+                    "no-repeat", f"attempt {number} of {name} goes out; {sent.number} may have run"
+                )
+            elif not self._same_group(settings, sent.endpoint_id, endpoint_id):
+                self.record_violation(
+                    "no-repeat", f"attempt {number} of {name} leaves the group of {sent.number}"
+                )
+            elif now - sent.sent_at > settings.deduplication_window + TOLERANCE:
+                self.record_violation("no-repeat", f"attempt {number} of {name} goes out after its window")
+
+    def _same_group(self, settings: ClassSettings, first_id: int, second_id: int) -> bool:
+        if settings.deduplication_scope is DeduplicationScope.ALL or first_id == second_id:
             return True
-        if cls.deduplication_scope is DeduplicationScope.ZONE:
-            return self.nodes[one].zone == self.nodes[other].zone
-        return self.nodes[one].cell == self.nodes[other].cell
+        if settings.deduplication_scope is DeduplicationScope.ZONE:
+            return self.endpoints[first_id].zone == self.endpoints[second_id].zone
+        return self.endpoints[first_id].cell == self.endpoints[second_id].cell
 
-    def answer_received(self, txn: str, number: int, code: str, body: bytes, born: float) -> None:
+    def response_received(
+        self, request_id: str, number: int, code: str, body: bytes, created_at: float
+    ) -> None:
         """An answer to an attempt has reached the router; only the first to each attempt counts."""
-        request = self.requests[txn]
+        request = self.requests[request_id]
         attempt = request.attempt(number)
-        if attempt is None or number in request.codes:
+        if attempt is None or number in request.status_codes:
             return
-        request.codes[number] = code
+        request.status_codes[number] = code
         attempt.not_run = code in NOT_RUN_CODES
-        attempt.over = True
+        attempt.ended = True
         if code in COPY_CODES:
-            request.copies[body] = ObservedCopy(born, attempt.sent_at, attempt.known_purges)
+            request.copies[body] = ObservedCopy(created_at, attempt.sent_at, attempt.known_purges)
 
     # -- the decision module --
 
-    def attempt_ordered(self, txn: str) -> None:
+    def attempt_ordered(self, request_id: str) -> None:
         """The decision module has ordered an attempt."""
-        request = self.requests[txn]
-        request.orders += 1
-        if request.orders > self._most_attempts:
-            self.violated("allowed-attempts", f"{request.orders} orders for {request.cls}")
+        request = self.requests[request_id]
+        request.ordered_attempts += 1
+        if request.ordered_attempts > self._max_attempts:
+            self.record_violation(
+                "allowed-attempts", f"{request.ordered_attempts} orders for {request.class_name}"
+            )
 
-    def attempt_ended(self, txn: str, number: int, outcome: Outcome) -> None:
+    def attempt_ended(self, request_id: str, number: int, outcome: Outcome) -> None:
         """The decision module was notified of the end of an attempt."""
-        request = self.requests[txn]
-        name = f"attempt {number} of {request.cls}"
-        if number in request.ended:
-            self.violated("ends-once", f"{name} ends again as {outcome.name}")
-        request.ended.append(number)
+        request = self.requests[request_id]
+        name = f"attempt {number} of {request.class_name}"
+        if number in request.ended_attempts:
+            self.record_violation("ends-once", f"{name} ends again as {outcome.name}")
+        request.ended_attempts.append(number)
         attempt = request.attempt(number)
         if attempt is None:
             if outcome not in UNSENT_OUTCOMES:
-                self.violated("unrun-is-unrun", f"{name} ends as {outcome.name}, and was never written")
+                self.record_violation(
+                    "unrun-is-unrun", f"{name} ends as {outcome.name}, and was never written"
+                )
             return
-        proven = OUTCOME_OF_CODE.get(request.codes.get(number, ""))
+        proven = OUTCOME_OF_CODE.get(request.status_codes.get(number, ""))
         if outcome in NOT_RUN_OUTCOMES and outcome is not proven:
-            self.violated("run-is-run", f"{name} was written and ends as {outcome.name}")
+            self.record_violation("run-is-run", f"{name} was written and ends as {outcome.name}")
         if outcome is not proven:
             attempt.not_run = False
-        attempt.over = True
+        attempt.ended = True
 
     # -- the client's side --
 
-    def request_received(self, txn: str, cls: str, due: float) -> None:
+    def request_received(self, request_id: str, class_name: str, deadline: float) -> None:
         """A complete request has reached the router; it must be answered by `due` (Unix milliseconds)."""
-        self.requests[txn] = ObservedRequest(cls, due)
+        self.requests[request_id] = ObservedRequest(class_name, deadline)
 
-    def client_left(self, txn: str) -> None:
+    def client_disconnected(self, request_id: str) -> None:
         """The client of a request stops waiting."""
-        if self.requests[txn].state is RequestState.OPEN:
-            self.requests[txn].state = RequestState.LEFT
+        if self.requests[request_id].state is RequestState.OPEN:
+            self.requests[request_id].state = RequestState.CLIENT_DISCONNECTED
 
-    def all_clients_left(self) -> None:
+    def all_clients_disconnected(self) -> None:
         """The client connection has ended, and with it every open request."""
-        for txn in self.requests:
-            self.client_left(txn)
+        for request_id in self.requests:
+            self.client_disconnected(request_id)
 
     def open_requests(self) -> list[ObservedRequest]:
         """The requests whose clients still wait."""
         return [request for request in self.requests.values() if request.state is RequestState.OPEN]
 
-    def client_answered(self, txn: str, verdict: Verdict, body: bytes) -> None:
+    def client_response_received(self, request_id: str, response: ResponseKind, body: bytes) -> None:
         """The client of a request has received a complete answer."""
-        request = self.requests[txn]
-        if request.state is RequestState.LEFT:
-            self.violated("none-to-left", f"{verdict} to {request.cls}, whose client has left")
+        request = self.requests[request_id]
+        if request.state is RequestState.CLIENT_DISCONNECTED:
+            self.record_violation(
+                "none-to-left", f"{response} to {request.class_name}, whose client has left"
+            )
         elif request.state is not RequestState.OPEN:
-            self.violated("one-answer", f"{verdict} to {request.cls}, which is {request.state}")
+            self.record_violation(
+                "one-answer", f"{response} to {request.class_name}, which is {request.state}"
+            )
         request.state = RequestState.ANSWERED
-        if verdict is Verdict.REFUSED:
-            self._check_refusal(request)
-        elif verdict in (Verdict.SERVED, Verdict.UNCHANGED):
+        if response is ResponseKind.REJECTED:
+            self._check_rejection(request)
+        elif response in (ResponseKind.SERVED, ResponseKind.NOT_MODIFIED):
             self._check_copy(request, body)
 
-    def _check_refusal(self, request: ObservedRequest) -> None:
-        cls = self._classes[request.cls]
+    def _check_rejection(self, request: ObservedRequest) -> None:
+        settings = self._classes[request.class_name]
         unsure = [attempt for attempt in request.attempts if not attempt.not_run]
         bound_to_group = (
-            cls.idempotency is Idempotency.WITH_KEY and cls.deduplication_scope is not DeduplicationScope.ALL
+            settings.idempotency is Idempotency.WITH_KEY
+            and settings.deduplication_scope is not DeduplicationScope.ALL
         )
-        if unsure and (cls.idempotency is Idempotency.NONE or bound_to_group):
-            self.violated(
-                "harmless-refusal", f"{request.cls} is refused; attempt {unsure[0].number} may have run"
+        if unsure and (settings.idempotency is Idempotency.NONE or bound_to_group):
+            self.record_violation(
+                "harmless-refusal",
+                f"{request.class_name} is refused; attempt {unsure[0].number} may have run",
             )
 
     def _check_copy(self, request: ObservedRequest, body: bytes) -> None:
         if body not in request.copies:
-            self.violated("as-made", f"{request.cls} is served {body[:24]!r}, which no cache made for it")
+            self.record_violation(
+                "as-made", f"{request.class_name} is served {body[:24]!r}, which no cache made for it"
+            )
             return
-        cls, copy = self._classes[request.cls], request.copies[body]
-        if cls.uncacheable:
+        settings, copy = self._classes[request.class_name], request.copies[body]
+        if settings.uncacheable:
             return
         for purge in self.purges[: copy.known_purges]:
-            if copy.born < purge.purged_at - SLACK - TOLERANCE:
-                self._serves_purged(copy, purge)
+            if copy.created_at < purge.purged_at - SLACK - TOLERANCE:
+                self._record_purged_copy(copy, purge)
         if (
-            cls.freshness_lifetime
-            and copy.born < copy.sent_at - cls.freshness_lifetime - cls.stale_lifetime - SLACK - TOLERANCE
+            settings.freshness_lifetime
+            and copy.created_at
+            < copy.sent_at - settings.freshness_lifetime - settings.stale_lifetime - SLACK - TOLERANCE
         ):
-            self.violated("not-too-old", f"a copy {copy.sent_at - copy.born:.0f} ms old")
+            self.record_violation("not-too-old", f"a copy {copy.sent_at - copy.created_at:.0f} ms old")
 
-    def _serves_purged(self, copy: ObservedCopy, purge: ObservedPurge) -> None:
-        name = f"object {purge.key:x}" if purge.key else f"group {purge.group}"
-        self.violated(
+    def _record_purged_copy(self, copy: ObservedCopy, purge: ObservedPurge) -> None:
+        name = f"object {purge.object_key:x}" if purge.object_key else f"group {purge.group}"
+        self.record_violation(
             "no-purged",
-            f"a copy born {purge.purged_at - copy.born:.0f} ms before the purge of {name}, received "
+            f"a copy born {purge.purged_at - copy.created_at:.0f} ms before the purge of {name}, received "
             f"{copy.sent_at - purge.notified_at:.0f} ms before its first byte",
         )
 
     def check_overdue(self, now: float) -> None:
         """Records each open request whose answer is late at `now` (Unix milliseconds)."""
         for request in self.open_requests():
-            if now > request.due + 0.01:
-                late = now - request.due
-                self.violated("in-time", f"{request.cls} has no answer {late:.0f} ms after its last moment")
-                request.state = RequestState.LOST
+            if now > request.deadline + 0.01:
+                late = now - request.deadline
+                self.record_violation(
+                    "in-time", f"{request.class_name} has no answer {late:.0f} ms after its last moment"
+                )
+                request.state = RequestState.OVERDUE
--- a/edge_router/model_checker/reach.py
+++ b/edge_router/model_checker/reach.py
@@ -209,7 +209,7 @@
     """
     yield "Properties:"
     for prop in PROPERTIES.values():
-        yield f"  {prop.name:18} {prop.text} [{prop.source}]"
+        yield f"  {prop.name:18} {prop.rule} [{prop.source}]"
     yield "Hard cases, and the scope that holds each:"
     for case, scope in HARD_CASES.items():
         yield f"  {scope:10} {case}"
--- a/edge_router/model_checker/scope.py
+++ b/edge_router/model_checker/scope.py
@@ -73,10 +73,10 @@
 }
 CLASS_ORDER = tuple(CLASSES)
 CACHE, PARENT, ORIGIN = range(3)
-PURGE_DONE = 800.0
+PURGE_SETTLE_TIME = 800.0
 
 
-def settings(most_attempts: int, cancel: bool = True) -> Settings:
+def settings(max_attempts: int, cancellation_allowed: bool = True) -> Settings:
     """The settings of every scope: one zone with caches, a parent and an origin elsewhere."""
     return Settings(
         classes=tuple(CLASSES.values()),
@@ -99,11 +99,11 @@
         parent_slow_start_duration=2000.0,
         parent_overload_factor=4.0,
         purge_notice_time=100.0,
-        purge_settle_time=PURGE_DONE,
+        purge_settle_time=PURGE_SETTLE_TIME,
         drain_grace_period=100.0,
-        max_attempts=most_attempts,
+        max_attempts=max_attempts,
         hedging_allowed=True,
-        cancellation_allowed=cancel,
+        cancellation_allowed=cancellation_allowed,
         health_checks_allowed=False,
         retry_after_allowed=True,
         max_retry_after=100.0,
--- a/edge_router/model_checker/trace.py
+++ b/edge_router/model_checker/trace.py
@@ -81,8 +81,8 @@
 
     scope: Scope
     steps: Steps
-    prop: str
-    why: str
+    property_name: str
+    detail: str
     mutation: str = ""  # the planted fault; empty for the real code
 
     def to_json(self) -> str:
@@ -92,8 +92,8 @@
             "scope": asdict(self.scope),
             "seed": self.mutation,
             "steps": list(self.steps),
-            "property": self.prop,
-            "why": self.why,
+            "property": self.property_name,
+            "why": self.detail,
         }
         return json.dumps(table, indent=1) + "\n"
 
@@ -148,12 +148,14 @@
     def report(self) -> str:
         """The steps and violations as text for a person on call."""
         taken, violations = self.replay()
-        prop = PROPERTIES[self.prop]
-        lines = [f"{self.prop}: {prop.text} ({prop.source})"]
+        rule = PROPERTIES[self.property_name]
+        lines = [f"{self.property_name}: {rule.rule} ({rule.source})"]
         if self.mutation:
             lines.append(f"with the seeded fault {self.mutation}")
-        lines += [f"{one.at:9.1f} ms  {one.text}" for one in taken]
-        lines += [f"           broken: {violation.prop}: {violation.why}" for violation in violations]
+        lines += [f"{step.at:9.1f} ms  {step.text}" for step in taken]
+        lines += [
+            f"           broken: {violation.property_name}: {violation.detail}" for violation in violations
+        ]
         if not violations:
             lines.append("           nothing is broken")
         return "\n".join(lines)
@@ -178,22 +180,22 @@
         return f"{args[0]}: answers request {args[1]} with {code}{f', {note}' if note else ''}"
     place = int(args[0]) if args and args[0].isdigit() else -1
     requests = model.state.clients.requests
-    cls = requests[place].cls if 0 <= place < len(requests) else ""
+    cls = requests[place].class_name if 0 <= place < len(requests) else ""
     return _DESCRIPTIONS.get(word, word).format(*args, cls=cls)
 
 
-def shrink(factory: MachineFactory, steps: Steps, prop: str) -> Steps:
+def shrink(factory: MachineFactory, steps: Steps, property_name: str) -> Steps:
     """The fewest steps found that violate the same property: parts are left out by halves, then one by one.
 
     After Zeller and Hildebrandt, "Simplifying and isolating failure-inducing input", 2002. Steps that are not
     enabled are skipped.
     """
-    best = enabled_steps_to(factory, steps, prop) or steps
+    best = enabled_steps_to(factory, steps, property_name) or steps
     size = max(1, len(best) // 2)
     while size:
         start = 0
         while start < len(best):
-            shorter = enabled_steps_to(factory, best[:start] + best[start + size :], prop)
+            shorter = enabled_steps_to(factory, best[:start] + best[start + size :], property_name)
             if shorter is not None and len(shorter) < len(best):
                 best = shorter
             else:
@@ -202,7 +204,7 @@
     return best
 
 
-def enabled_steps_to(factory: MachineFactory, steps: Steps, prop: str) -> Steps | None:
+def enabled_steps_to(factory: MachineFactory, steps: Steps, property_name: str) -> Steps | None:
     """Takes those of the steps that are enabled; the ones up to a violation of the property, or None."""
     machine = factory()
     taken: list[str] = []
@@ -215,5 +217,5 @@
         else:
             machine.do(step)
         if machine.violations:
-            return tuple(taken) if machine.violations[0].prop == prop else None
+            return tuple(taken) if machine.violations[0].property_name == property_name else None
     return None
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -70,7 +70,7 @@
 
 
 def told(result: Result) -> list[tuple[tuple[str, ...], str]]:
-    return [(found.steps, found.violation.prop) for found in result.found]
+    return [(found.steps, found.violation.property_name) for found in result.found]
 
 
 # -- the seams --
@@ -120,7 +120,7 @@
     model = run(model_factory(one), ("ask 0", "decide", "up c1.0", "wait", "fire"))
     assert isinstance(model, RouterModel)
     assert check_fields(all_parts(model.state)) == []
-    vars(model.state.harness.route)["_new"] = 1
+    vars(model.state.harness.router)["_new"] = 1
     assert check_fields(all_parts(model.state)) == [
         "RequestRouter._new is not in the ledger of the fingerprint"
     ]
@@ -261,7 +261,7 @@
     wrong = [
         (one.name, one.crash or one.found)
         for one in found
-        if one.found is None or one.found.violation.prop != one.breaks
+        if one.found is None or one.found.violation.property_name != one.breaks
     ]
     assert not wrong
     assert len(mutations.MUTATIONS) >= 20
@@ -295,8 +295,8 @@
     assert trace.mutation, "a kept trace names the fault that its mend took out"
     try:
         _, broken = trace.replay()
-        assert trace.prop in {violation.prop for violation in broken}
-        mended = Trace(trace.scope, trace.steps, trace.prop, trace.why)
+        assert trace.property_name in {violation.property_name for violation in broken}
+        mended = Trace(trace.scope, trace.steps, trace.property_name, trace.detail)
         assert mended.replay()[1] == []
         assert "nothing is broken" in mended.report()
     finally:
