--- /dev/null
+++ b/tests/test_import_levels.py
@@ -0,0 +1,63 @@
+"""Imports: each package uses only its own level and the levels below, and heavy modules stay out."""
+
+from __future__ import annotations
+
+import ast
+import subprocess
+import sys
+from pathlib import Path
+
+import pytest
+
+ROOT = Path(__file__).parent.parent
+# Each package may import from its own level and the levels below.
+LEVELS = {
+    "runtime": 0,
+    "decision": 1,
+    "protocol": 2,
+    "discovery": 3,
+    "transport": 3,
+    "config": 4,
+    "proxy": 5,
+    "server": 6,
+    "model_checker": 7,
+    "fault_injection": 7,
+    "cli": 8,
+    "": 0,
+}
+
+
+def level_of(module: str) -> int:
+    """The level of one of the product's modules."""
+    return LEVELS[module.removeprefix("edge_router").removeprefix(".").partition(".")[0]]
+
+
+def test_imports_go_down_only() -> None:
+    for path in (ROOT / "edge_router").rglob("*.py"):
+        module = ".".join(path.relative_to(ROOT).with_suffix("").parts).removesuffix(".__init__")
+        if module in ("edge_router.__main__", "edge_router.simulator_adapter"):
+            continue
+        for node in ast.walk(ast.parse(path.read_text())):
+            if isinstance(node, ast.ImportFrom) and node.module and node.module.startswith("edge_router"):
+                for name in node.names:
+                    whole = f"{node.module}.{name.name}"
+                    target = whole if (ROOT / (whole.replace(".", "/") + ".py")).exists() else node.module
+                    assert level_of(target) <= level_of(module), f"{module} imports {target}"
+
+
+@pytest.mark.parametrize(
+    ("module", "absent"),
+    [
+        ("edge_router.proxy.request_router", ("trio",)),
+        ("edge_router.transport.upstream_channel", ("trio",)),
+        ("edge_router.transport.client_session", ("trio",)),
+        ("edge_router.model_checker.model.router_model", ("trio",)),
+        (
+            "edge_router.server.server",
+            ("click", "rich", "numpy", "xxhash", "edge_router.model_checker", "edge_router.cli"),
+        ),
+    ],
+)
+def test_what_a_module_does_not_bring_in(module: str, absent: tuple[str, ...]) -> None:
+    code = f"import sys, {module}; sys.exit(any(name in sys.modules for name in {absent!r}))"
+    assert subprocess.run([sys.executable, "-c", code], check=False).returncode == 0
