--- a/edge_router/server/main.py
+++ b/edge_router/server/main.py
@@ -20,7 +20,7 @@
 
 
 def main() -> int:
-    """Runs the router until it is told to stop; returns the exit status."""
+    """Runs the router until a signal stops it; returns the exit status."""
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)  # they stay pending until the handlers are set
     try:
         config = load_config()
--- a/edge_router/server/server.py
+++ b/edge_router/server/server.py
@@ -164,6 +164,6 @@
 
 
 async def serve(config: RouterConfig, listener: socket.socket) -> None:
-    """Runs an edge router on a bound, listening and non-blocking socket until it is told to stop."""
+    """Runs an edge router on a bound, listening and non-blocking socket until a signal stops it."""
     async with trio.open_nursery() as nursery:
         await Server(config, nursery).run(listener)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -13,7 +13,7 @@
 @pytest.mark.parametrize("deadline, within", [(600.0, 0.8), (9000.0, 3.2)])
 def test_shutdown_answers_requests_before_the_kill_timeout(deadline: float, within: float) -> None:
     """SIGKILL comes 0.7 s after the longest deadline, of which 3 s count at most."""
-    classes = [{**cls, "deadline": deadline, "on_time": 500.0} for cls in SETTINGS["classes"]]
+    classes = [{**entry, "deadline": deadline, "on_time": 500.0} for entry in SETTINGS["classes"]]
     router = RouterHarness(classes=classes)
     client = router.connect()
     client.send_request(X_TTL_MS="60000")
@@ -32,14 +32,14 @@
 ) -> None:
     early = router.connect()
     early.send_request()
-    held = router.next_command()
+    early_fetch = router.next_command()
     router.process.send_signal(signal.SIGTERM)
     router.wait_until(lambda: router.log_lines("shutdown-started"), "the shutdown")
     late = router.connect()
     late.send_request()
     router.next_command().reply(body=b"late")
     assert late.read_response().body == b"late"
-    held.reply(body=b"early")
+    early_fetch.reply(body=b"early")
     assert early.read_response().body == b"early"
     assert router.process.wait(TEST_TIMEOUT) == 0
     router.process = router.start()
@@ -48,17 +48,17 @@
 def test_shutdown_at_the_connection_limit_loses_no_request() -> None:
     """A connection that waits to be accepted is still served, and the process ends without an error."""
     router = RouterHarness(sockets=16)  # of which clients get 8
-    held = [router.connect() for _ in range(8)]
-    for client in held:
+    accepted = [router.connect() for _ in range(8)]
+    for client in accepted:
         client.send_request()
-    fetches = [router.next_command() for _ in held]
+    fetches = [router.next_command() for _ in accepted]
     late = router.connect()
     late.send_request(X_ROW="0123456789abcdef")
     router.process.send_signal(signal.SIGTERM)
     router.wait_until(lambda: router.log_lines("shutdown-started"), "the shutdown")
     for fetch in fetches:
         fetch.reply(body=b"held")
-    assert {client.read_response().body for client in held} == {b"held"}
+    assert {client.read_response().body for client in accepted} == {b"held"}
     router.next_command().reply(body=b"late")
     assert late.read_response().body == b"late"
     assert router.process.wait(TEST_TIMEOUT) == 0 and not router.log_lines("Exception")
--- a/tests/test_system_call_failures.py
+++ b/tests/test_system_call_failures.py
@@ -192,10 +192,10 @@
 ) -> None:
     flag = tmp_path / "aborted"
     router = start_router(sockets=16, faults=[Fault(Call.ACCEPT, "ECONNABORTED", flag=str(flag), chance=0.7)])
-    held = [router.connect() for _ in range(8)]  # all places
-    for client in held:
+    accepted = [router.connect() for _ in range(8)]  # all places
+    for client in accepted:
         client.send_request(path="/svc/confirm", X_TTL_MS="60000")
-    for _ in held:
+    for _ in accepted:
         router.next_command()
     late = [router.connect() for _ in range(4)]
     for client in late:
@@ -203,7 +203,7 @@
     flag.touch()
     router.process.send_signal(signal.SIGTERM)
     assert {client.read_response().status for client in late} == {503}
-    assert {client.read_response().status for client in held} == {502}
+    assert {client.read_response().status for client in accepted} == {502}
     assert router.process.wait(TEST_TIMEOUT) == 0
 
 
@@ -287,9 +287,9 @@
     router = start_router()
     assert router.change_log.resumed_from.get(timeout=TEST_TIMEOUT) == 1
     router.change_log.send_event(1, HEARTBEAT)
-    nodes = [router.endpoint_record(cache, UP) for cache in router.caches]
-    nodes += [encode_endpoint(0x1000 + place, weight=9000) for place in range(3000)]
-    payload = b"".join(nodes)
+    records = [router.endpoint_record(cache, UP) for cache in router.caches]
+    records += [encode_endpoint(0x1000 + place, weight=9000) for place in range(3000)]
+    payload = b"".join(records)
     data = struct.pack(">IQB", 9 + len(payload), 2, FULL_LIST) + payload
     sock = router.change_log.listener.accepted[-1]
     for place in range(10):
