--- a/edge_router/cli/explore.py
+++ b/edge_router/cli/explore.py
@@ -5,17 +5,26 @@
 import os
 import sys
 import time
+from enum import IntEnum
 from pathlib import Path
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, NoReturn
 
 import click
 
 if TYPE_CHECKING:
     from edge_router.model_checker.results import Result
+    from edge_router.model_checker.scope import Scope
     from edge_router.model_checker.trace import Trace
 
-HELD, VIOLATED, UNUSABLE = 0, 1, 2
-MOST_SHOWN = 6
+MAX_VIOLATIONS_SHOWN = 6
+
+
+class ExitStatus(IntEnum):
+    """Exit statuses of the commands."""
+
+    HELD = 0
+    VIOLATIONS = 1
+    UNUSABLE = 2  # the arguments or a file can't be used
 
 
 @click.group()
@@ -27,9 +36,9 @@
     return wanted or min(8, len(os.sched_getaffinity(0)))
 
 
-def _unusable(why: str) -> None:
-    click.echo(f"edge_router explore: {why}", err=True)
-    sys.exit(UNUSABLE)
+def _unusable(message: str) -> NoReturn:
+    click.echo(f"edge_router explore: {message}", err=True)
+    sys.exit(ExitStatus.UNUSABLE)
 
 
 def _line(scope: str, result: Result) -> str:
@@ -40,14 +49,14 @@
     )
 
 
-def _show(scope_name: str, result: Result, scopes: tuple[Any, ...], folder: Path | None) -> None:
+def _show(scope_name: str, result: Result, scopes: tuple[Scope, ...], folder: Path | None) -> None:
     """Prints the first violation of each property, and saves its trace."""
     from edge_router.model_checker.scope import named
     from edge_router.model_checker.trace import Trace, model_factory, shrink
 
     shown: set[str] = set()
     for found in result.found:
-        if found.violation.property_name in shown or len(shown) >= MOST_SHOWN:
+        if found.violation.property_name in shown or len(shown) >= MAX_VIOLATIONS_SHOWN:
             continue
         shown.add(found.violation.property_name)
         if scope_name in ("channel", "codecs"):
@@ -129,7 +138,7 @@
         _unusable(str(error))
     total.seconds = time.monotonic() - began
     click.echo(_line(scope_name, total))
-    sys.exit(VIOLATED if total.found else HELD)
+    sys.exit(ExitStatus.VIOLATIONS if total.found else ExitStatus.HELD)
 
 
 @explore.command("seeded")
@@ -168,7 +177,7 @@
     Console(width=120).print(table)
     missed = [caught.name for caught in found if caught.found is None]
     click.echo(f"seeded={len(found)} found={len(found) - len(missed)} seconds={time.monotonic() - began:.1f}")
-    sys.exit(VIOLATED if missed else HELD)
+    sys.exit(ExitStatus.VIOLATIONS if missed else ExitStatus.HELD)
 
 
 @explore.command("walk")
@@ -196,7 +205,7 @@
         f"walks={done.walks} steps={done.steps} kinds={len(done.words)} violations={len(done.found)} "
         f"seconds={time.monotonic() - began:.1f}"
     )
-    sys.exit(VIOLATED if done.found else HELD)
+    sys.exit(ExitStatus.VIOLATIONS if done.found else ExitStatus.HELD)
 
 
 def _read(path: Path) -> Trace:
@@ -206,7 +215,6 @@
         return Trace.read(path)
     except (OSError, ValueError) as error:
         _unusable(f"{path}: {error}")
-        raise
 
 
 @explore.command("replay")
@@ -224,7 +232,7 @@
             _unusable(f"{chart}: a chart is .svg or .png")
         draw(trace, chart)
         click.echo(f"drawn in {chart}")
-    sys.exit(VIOLATED if violations else HELD)
+    sys.exit(ExitStatus.VIOLATIONS if violations else ExitStatus.HELD)
 
 
 @explore.command("report")
--- a/edge_router/fault_injection/fleet.py
+++ b/edge_router/fault_injection/fleet.py
@@ -121,8 +121,10 @@
     def _endpoints(self) -> list[EndpointRecord]:
         ready, weight = EndpointState.READY, ENDPOINT_WEIGHT
         endpoints = [cache.endpoint_record() for cache in self.caches]
-        for number in range(PARENTS):
-            endpoints.append(EndpointRecord(FIRST_PARENT_ID + number, UNUSED_PORT, ready, 0, 1, weight))
+        endpoints += [
+            EndpointRecord(FIRST_PARENT_ID + number, UNUSED_PORT, ready, 0, 1, weight)
+            for number in range(PARENTS)
+        ]
         endpoints.append(EndpointRecord(ORIGIN_ID, UNUSED_PORT, ready, 0, 2, weight))
         return endpoints
 
--- a/edge_router/model_checker/chart.py
+++ b/edge_router/model_checker/chart.py
@@ -8,7 +8,7 @@
 
 matplotlib.use("Agg")
 
-from matplotlib import pyplot  # noqa: E402
+from matplotlib import pyplot
 
 from edge_router.model_checker.scope import ANSWERS
 from edge_router.model_checker.trace import Trace, TracedStep
--- a/edge_router/model_checker/model/caches.py
+++ b/edge_router/model_checker/model/caches.py
@@ -245,8 +245,10 @@
         attempts = [getattr(command, "_attempt", None) for command in channel._queue]
         return all(
             attempt is None
-            or not (attempt.ended or attempt.purged)
-            and endpoints.is_ready(attempt.instruction.endpoint_id)
-            and endpoints.is_ready(attempt.instruction.source_id)
+            or (
+                not (attempt.ended or attempt.purged)
+                and endpoints.is_ready(attempt.instruction.endpoint_id)
+                and endpoints.is_ready(attempt.instruction.source_id)
+            )
             for attempt in attempts
         )
--- a/edge_router/model_checker/model/harness.py
+++ b/edge_router/model_checker/model/harness.py
@@ -252,6 +252,7 @@
         self._policy = harness.router._policy
 
     def __call__(self, now: float, event: Event) -> list[Action]:
+        """Handles an event at `now` (Unix milliseconds)."""
         harness = self._harness
         if isinstance(event, AttemptEnded) and (request_id := harness.request_id_of(event.request_number)):
             harness.observer.attempt_ended(request_id, event.attempt_index, event.outcome)
--- a/edge_router/model_checker/scope.py
+++ b/edge_router/model_checker/scope.py
@@ -233,7 +233,7 @@
     Scope(
         "drain",
         ("image",),
-        kinds=NODE_FAULTS + ("choke",),
+        kinds=(*NODE_FAULTS, "choke"),
         faults=2,
         depth=6,
         targets=("c1", "p1"),
@@ -242,7 +242,7 @@
     Scope(
         "purge",
         ("image",),
-        kinds=PURGE_FAULTS + ("choke", "never"),
+        kinds=(*PURGE_FAULTS, "choke", "never"),
         answers=("hit", "joined", "old"),
         faults=2,
         depth=8,
@@ -251,7 +251,7 @@
     Scope(
         "log",
         ("image",),
-        kinds=CHANGE_LOG_FAULTS + ("drain", "purge", "choke"),
+        kinds=(*CHANGE_LOG_FAULTS, "drain", "purge", "choke"),
         faults=2,
         depth=7,
         targets=("c1",),
