--- /dev/null
+++ b/edge_router/decision/candidate_selector.py
@@ -0,0 +1,81 @@
+"""The caches and sources that may serve a request, in the order in which they are tried.
+
+Source: DESIGN, the home cache and home parent; the spread of hot objects and the walk past crowded links are
+ours, after consistent hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam).
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+from edge_router.decision.endpoint_directory import EndpointDirectory
+from edge_router.decision.link_loads import LinkLoads
+from edge_router.decision.messages import EndpointId
+from edge_router.decision.pending_request import PendingRequest
+from edge_router.decision.placement import segment_key
+from edge_router.decision.popularity import Popularity
+
+HOT_FAIR_SHARE = 0.5  # an object with more than this part of one cache's fair share goes to one cache more
+
+
+class CandidateSelector:
+    """Ranks caches and sources for one request."""
+
+    def __init__(self, directory: EndpointDirectory, loads: LinkLoads, popularity: Popularity) -> None:
+        """Reads all three and changes none."""
+        self._directory = directory
+        self._loads = loads
+        self._popularity = popularity
+
+    def caches(self, now: float, pending: PendingRequest) -> Iterator[EndpointId]:
+        """The home, spread for a hot object, then the others in hash order, but none that is crowded.
+
+        If no cache is available and untried, all are candidates, those already tried last.
+        """
+        key, directory = segment_key(pending.request), self._directory
+        ranked = directory.caches.ranked(key)
+        available = [
+            cache_id
+            for cache_id in ranked
+            if cache_id not in pending.tried_endpoints and directory.cache_accepts(now, key, cache_id)
+        ]
+        spread = self._spread(pending.request.object_key, len(ranked))
+        if spread > 1 and len(available) > 1:
+            available[:spread] = self._by_load(available[:spread])
+        yield from (each for each in available if not self._loads.is_crowded(now, pending, each))
+        if not available:
+            yield from sorted(ranked, key=lambda cache_id: cache_id in pending.tried_endpoints)
+
+    def _by_load(self, cache_ids: list[EndpointId]) -> list[EndpointId]:
+        loads = {cache_id: self._loads.of(cache_id) for cache_id in cache_ids}
+
+        def relative_load(cache_id: EndpointId) -> tuple[float, float]:
+            load = loads[cache_id]
+            return load.in_flight_work / load.capacity, load.in_flight_work
+
+        return sorted(loads, key=relative_load)
+
+    def _spread(self, object_key: int, caches: int) -> int:
+        """Over how many caches an object goes, by its part of the traffic against a cache's fair share."""
+        if self._popularity.is_warming_up() or not self._popularity.in_top_set(object_key):
+            return 1
+        return 1 + int(self._popularity.byte_share(object_key) * caches / HOT_FAIR_SHARE)
+
+    def sources(self, now: float, pending: PendingRequest, cache_id: EndpointId) -> Iterator[EndpointId]:
+        """The home parent and the next ones in hash order, then the origins; crowded ones after all others.
+
+        Then the parents that are not available, and at last the cache itself, which fills from nowhere.
+        """
+        key, directory = pending.request.object_key, self._directory
+        ranked = () if pending.settings.uncacheable else directory.parents.ranked(key)
+        available = [
+            parent_id
+            for parent_id in ranked
+            if parent_id not in pending.failed_sources and directory.parent_accepts(now, key, parent_id)
+        ]
+        yield from sorted(
+            available + directory.origins,
+            key=lambda source_id: self._loads.is_crowded(now, pending, source_id),
+        )
+        yield from (parent_id for parent_id in ranked if parent_id not in available)
+        yield cache_id
--- /dev/null
+++ b/edge_router/decision/copy_tracker.py
@@ -0,0 +1,41 @@
+"""Which caches probably hold a copy of which object, as they were sent requests for it lately.
+
+Source: ours. Times are milliseconds.
+"""
+
+from __future__ import annotations
+
+from edge_router.decision.messages import Endpoint, EndpointId, RequestReceived
+from edge_router.decision.purges import RecentPurges
+
+COPY_LIFETIME = 1.0  # a copy is thought to be in its cache for this many slow-start times
+MAX_TRACKED_COPIES = 20_000
+
+
+class CopyTracker:
+    """The times at which copies were last used, the oldest first."""
+
+    def __init__(self, slow_start_duration: float, purges: RecentPurges) -> None:
+        """Reads `purges`, after which a copy is of no use."""
+        self._lifetime = COPY_LIFETIME * slow_start_duration
+        self._purges = purges
+        self.last_used: dict[tuple[int, int, EndpointId], float] = {}  # by object, segment and cache
+
+    def record(self, now: float, request: RequestReceived, cache_id: EndpointId) -> None:
+        """The cache sent or cached the object; up to two copies that are too old are dropped."""
+        copy = (request.object_key, request.segment, cache_id)
+        self.last_used.pop(copy, None)
+        self.last_used[copy] = now
+        for _ in range(2):
+            oldest = next(iter(self.last_used))
+            if len(self.last_used) < MAX_TRACKED_COPIES and now - self.last_used[oldest] <= self._lifetime:
+                break
+            del self.last_used[oldest]
+
+    def has_copy(self, now: float, request: RequestReceived, cache: Endpoint) -> bool:
+        """Whether the cache probably holds a copy from after its start and the last purge."""
+        used_at = self.last_used.get((request.object_key, request.segment, cache.endpoint_id))
+        if used_at is None:
+            return False
+        max_age = self._purges.max_copy_age(now, request.object_key, request.purge_group)
+        return now - used_at <= min(self._lifetime, max_age) and used_at >= cache.started_at
--- /dev/null
+++ b/edge_router/decision/endpoint_directory.py
@@ -0,0 +1,117 @@
+"""The endpoint list by role, with the outlier detectors and slow-start budgets of its endpoints.
+
+Source: PROTOCOL, the endpoint list; the roles are those of the settings.
+"""
+
+from __future__ import annotations
+
+from collections import defaultdict
+
+from edge_router.decision.messages import (
+    Endpoint,
+    EndpointId,
+    EndpointListUpdate,
+    EndpointState,
+    UpdateKind,
+)
+from edge_router.decision.outlier_detection import EJECTION_TIME, OutlierDetector, OutlierDetectors
+from edge_router.decision.placement import RendezvousHash, slow_start_unit
+from edge_router.decision.settings import Settings
+from edge_router.decision.slow_start import SlowStartBudget
+
+
+class EndpointDirectory:
+    """The listed endpoints. `caches`, `parents` and `origins` (ids) have only ready ones."""
+
+    def __init__(self, settings: Settings) -> None:
+        """Starts with an empty list."""
+        self._settings = settings
+        self._ejection_time = EJECTION_TIME * max(settings.connect_timeout, 1.0)
+        self.endpoints: dict[EndpointId, Endpoint] = {}
+        self.cache_outliers: OutlierDetectors = defaultdict(OutlierDetector)
+        self.source_outliers: OutlierDetectors = defaultdict(OutlierDetector)
+        self.cache_budget = SlowStartBudget(
+            settings.slow_start_initial_capacity,
+            settings.slow_start_duration,
+            settings.overload_factor,
+            settings.overload_window,
+        )
+        self.parent_budget = SlowStartBudget(
+            settings.parent_slow_start_initial_capacity,
+            settings.parent_slow_start_duration,
+            settings.parent_overload_factor,
+            settings.overload_window,
+        )
+        self._sort_by_role()
+
+    def update(self, event: EndpointListUpdate) -> None:
+        """Applies a full list or a change; what is known of endpoints that restarted or left is dropped."""
+        before = self.endpoints
+        if event.kind is not UpdateKind.DELTA:
+            self.endpoints = {}
+        for endpoint in event.endpoints:
+            endpoint_id = endpoint.endpoint_id
+            known = before.get(endpoint_id)
+            if known is not None and endpoint.started_at != known.started_at:
+                self.cache_outliers.pop(endpoint_id, None)
+                self.source_outliers.pop(endpoint_id, None)
+            if endpoint.state is EndpointState.GONE:
+                self.endpoints.pop(endpoint_id, None)
+            else:
+                self.endpoints[endpoint_id] = endpoint
+        for outliers in (self.cache_outliers, self.source_outliers):
+            for endpoint_id in [each for each in outliers if each not in self.endpoints]:
+                del outliers[endpoint_id]
+        self.cache_budget.forget_unlisted(self.endpoints)
+        self.parent_budget.forget_unlisted(self.endpoints)
+        self._sort_by_role()
+
+    def _sort_by_role(self) -> None:
+        settings, weighted = self._settings, self._settings.endpoints_weighted
+        parents, caches = [], []
+        self.origins: list[EndpointId] = []
+        for endpoint in sorted(self.endpoints.values()):
+            if endpoint.state is not EndpointState.READY:
+                continue
+            if endpoint.role == settings.origin_role:
+                self.origins.append(endpoint.endpoint_id)
+            if endpoint.role == settings.parent_role:
+                parents.append(endpoint)
+            elif endpoint.role != settings.origin_role and endpoint.zone == settings.zone:
+                caches.append(endpoint)
+        self.parents = RendezvousHash(parents, weighted)
+        self.caches = RendezvousHash(caches, weighted)
+
+    def cache_accepts(self, now: float, key: int, cache_id: EndpointId) -> bool:
+        """Whether the cache is not ejected and, while it warms up, takes this key already."""
+        if not self.cache_outliers[cache_id].is_available(now):
+            return False
+        started_at = self.caches.endpoints[cache_id].started_at
+        available = self.cache_budget.available_capacity(now, started_at)
+        return available >= 1.0 or slow_start_unit(key, cache_id) < available
+
+    def parent_accepts(self, now: float, key: int, parent_id: EndpointId) -> bool:
+        """Whether the parent is not ejected and, while it warms up, takes this key already."""
+        if not self.source_outliers[parent_id].is_available(now):
+            return False
+        started_at = self.parents.endpoints[parent_id].started_at
+        available = self.parent_budget.available_capacity(now, started_at)
+        return available >= 1.0 or slow_start_unit(key, parent_id) < available
+
+    def is_available(self, now: float, cache_id: EndpointId, source_id: EndpointId) -> bool:
+        """Whether neither the cache nor the source is ejected."""
+        cache, source = self.cache_outliers[cache_id], self.source_outliers[source_id]
+        return cache.is_available(now) and source.is_available(now)
+
+    def start_trials(self, now: float, cache_id: EndpointId, source_id: EndpointId) -> None:
+        """An attempt is sent; if the ejection of one of the two is just over, it is the trial."""
+        self.cache_outliers[cache_id].start_trial(now, self._ejection_time)
+        self.source_outliers[source_id].start_trial(now, self._ejection_time)
+
+    def cache_failed(self, now: float, cache_id: EndpointId, sent_at: float, score: float = 1) -> bool:
+        """Records a failed attempt at a cache; True if that ejects it."""
+        return self.cache_outliers[cache_id].record_failure(now, sent_at, self._ejection_time, score)
+
+    def source_failed(self, now: float, source_id: EndpointId, sent_at: float) -> bool:
+        """Records a failed fill from a source; True if that ejects it."""
+        return self.source_outliers[source_id].record_failure(now, sent_at, self._ejection_time, 1)
--- /dev/null
+++ b/edge_router/decision/outcome_recorder.py
@@ -0,0 +1,116 @@
+"""What is learned from the end of an attempt or from its silence: of its cache, its source and the origin.
+
+Source: WIRE, the outcomes and fill results of an attempt; the judgements are ours.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from edge_router.decision.copy_tracker import CopyTracker
+from edge_router.decision.endpoint_directory import EndpointDirectory
+from edge_router.decision.link_loads import LinkLoads
+from edge_router.decision.messages import AttemptEnded, EndpointId, FillResult, LogMessage, Outcome
+from edge_router.decision.outlier_detection import EJECTION_SCORE, RESET_SCORE
+from edge_router.decision.pending_request import AttemptRecord, PendingRequest
+from edge_router.decision.popularity import Popularity
+
+SOURCE_FAULTS = frozenset(
+    (
+        FillResult.SOURCE_REFUSED,
+        FillResult.SOURCE_FAILED,
+        FillResult.SOURCE_MISS,
+        FillResult.ORIGIN_FAILED,
+    )
+)
+
+
+class OutcomeRecorder:
+    """Attributes the outcome of an attempt to the cache, the source or the links between."""
+
+    def __init__(
+        self,
+        directory: EndpointDirectory,
+        loads: LinkLoads,
+        popularity: Popularity,
+        copies: CopyTracker,
+        report: Callable[[LogMessage], None],
+    ) -> None:
+        """`report` takes a message for each endpoint that is ejected."""
+        self._directory = directory
+        self._loads = loads
+        self._popularity = popularity
+        self._copies = copies
+        self._report = report
+
+    def record_end(
+        self, now: float, pending: PendingRequest, attempt: AttemptRecord, event: AttemptEnded
+    ) -> None:
+        """An attempt ended."""
+        result = event.fill_result
+        if result in (FillResult.FILLED_BY_ORIGIN, FillResult.ORIGIN_FAILED):
+            self._loads.record_origin_fetch(now, result == FillResult.FILLED_BY_ORIGIN)
+        if event.outcome is Outcome.OK:
+            self._record_success(now, pending, attempt, event)
+        elif result in SOURCE_FAULTS:
+            self._record_source_fault(now, pending, attempt, result)
+        else:
+            self._record_cache_fault(now, pending, attempt, event.outcome)
+
+    def _record_success(
+        self, now: float, pending: PendingRequest, attempt: AttemptRecord, event: AttemptEnded
+    ) -> None:
+        request, result = pending.request, event.fill_result
+        self._directory.cache_outliers[attempt.endpoint_id].record_success(now)
+        if result == FillResult.HIT:
+            self._loads.record_hit(now, attempt, pending.work, event.duration)
+            attempt.parent_charge.work = 0.0  # it never reached the parent
+        if result == FillResult.HIT or self._popularity.cache_rank(request.object_key):
+            self._copies.record(now, request, attempt.endpoint_id)
+        if result in (FillResult.FILLED, FillResult.FILLED_BY_ORIGIN):
+            self._loads.record_fill(now, attempt, pending.work, event)
+            self._directory.source_outliers[attempt.source_id].record_success(now)
+
+    def _record_source_fault(
+        self, now: float, pending: PendingRequest, attempt: AttemptRecord, result: int
+    ) -> None:
+        pending.failed_sources.add(attempt.source_id)
+        if result != FillResult.SOURCE_MISS:
+            self._loads.record_failed_fill(pending)
+        self._directory.cache_outliers[attempt.endpoint_id].record_success(now)
+        if result == FillResult.SOURCE_FAILED:
+            self._source_failed(now, attempt)
+
+    def _record_cache_fault(
+        self, now: float, pending: PendingRequest, attempt: AttemptRecord, outcome: Outcome
+    ) -> None:
+        if outcome is Outcome.CONNECT_FAILED:
+            self._cache_failed(now, attempt, EJECTION_SCORE)
+        elif outcome is Outcome.ERROR:
+            self._cache_failed(now, attempt)
+        elif outcome is Outcome.RESET:
+            cache = self._directory.cache_outliers[attempt.endpoint_id]
+            if cache.is_new_reset(now, attempt.sent_at):
+                self._cache_failed(now, attempt, RESET_SCORE)
+            if cache.is_available(now):
+                # It may be tried again, as it may well hold the object, unlike the next one.
+                pending.tried_endpoints.discard(attempt.endpoint_id)
+
+    def record_overdue(self, now: float, attempt: AttemptRecord) -> None:
+        """An attempt is overdue: attributed to its cache or, if that has answered since, to its source."""
+        attempt.overdue = True
+        if self._directory.cache_outliers[attempt.endpoint_id].last_success < attempt.sent_at:
+            self._cache_failed(now, attempt)
+        elif attempt.fill_expected:
+            self._source_failed(now, attempt)
+
+    def _cache_failed(self, now: float, attempt: AttemptRecord, score: float = 1) -> None:
+        if self._directory.cache_failed(now, attempt.endpoint_id, attempt.sent_at, score):
+            self._report_ejection("cache", attempt.endpoint_id)
+
+    def _source_failed(self, now: float, attempt: AttemptRecord) -> None:
+        if self._directory.source_failed(now, attempt.source_id, attempt.sent_at):
+            self._report_ejection("source", attempt.source_id)
+
+    def _report_ejection(self, role: str, endpoint_id: EndpointId) -> None:
+        self._report(LogMessage(f"{role} {endpoint_id:x} ejected"))
--- a/edge_router/model_checker/fingerprint/__init__.py
+++ b/edge_router/model_checker/fingerprint/__init__.py
@@ -81,16 +81,22 @@
         session,
         session._decoder,
         director,
-        director._popularity,
-        director._purges,
-        director._cold_caches,
-        director._link,
+        director.popularity,
+        director.purges,
+        director.directory,
+        director.directory.cache_budget,
+        director.loads,
+        director.loads.zone_link,
+        director.copies,
+        director.retry_budget,
+        director.candidates,
+        director.outcomes,
     ]
     for request in route.requests:
         found += [request, *request.attempts]
     for channel in harness.channels:
         found += [channel, channel.sock, channel.link, channel.decoder]
-    for held in director._held.values():
+    for held in director.pending.values():
         found += [held, *held.attempts]
-    found += list(director._cache_health.values())
+    found += list(director.directory.cache_outliers.values())
     return found
--- a/edge_router/model_checker/fingerprint/decision.py
+++ b/edge_router/model_checker/fingerprint/decision.py
@@ -1,21 +1,28 @@
-"""The state of the decision module: its list, popularity, health, budgets and requests."""
+"""The state of the decision module: its list, popularity, detector, budgets and requests."""
 
 from __future__ import annotations
 
 import math
 from typing import Any
 
-from edge_router.decision import policy
+from edge_router.decision.candidate_selector import CandidateSelector
+from edge_router.decision.copy_tracker import CopyTracker
+from edge_router.decision.endpoint_directory import EndpointDirectory
 from edge_router.decision.link_load import LinkLoad
+from edge_router.decision.link_loads import LinkLoads
+from edge_router.decision.outcome_recorder import OutcomeRecorder
 from edge_router.decision.outlier_detection import OutlierDetector
 from edge_router.decision.pending_request import AttemptRecord, PendingRequest
+from edge_router.decision.policy import RoutingPolicy
 from edge_router.decision.popularity import Popularity
 from edge_router.decision.purges import RecentPurges
+from edge_router.decision.retry_budget import RetryBudget
 from edge_router.decision.slow_start import SlowStartBudget
 from edge_router.model_checker.fingerprint.common import (
     DERIVED,
     FIXED,
     REPORTED,
+    WIRING,
     Fields,
     Frame,
     Ledger,
@@ -23,26 +30,53 @@
 )
 
 DECISION: Ledger = {
-    policy.RoutingPolicy: Fields(
-        "_listed _popularity _cache_health _source_health _cold_caches _cold_parents _purges _held "
-        "_loads _wait _origin _link _copies _mean_work _retry_budget",
+    RoutingPolicy: Fields(
+        "directory popularity purges pending loads copies mean_work retry_budget",
         {
-            "_set": FIXED,
-            "_pace": FIXED,
-            "_shortest": FIXED,
+            "_settings": FIXED,
             "_random": "always the middle here",
-            "_zone_share": FIXED,
-            "_crowded_at": FIXED,
-            "_link_size": FIXED,
-            "_out": "handed over already",
-            "_origins": DERIVED,
-            "_parents": DERIVED,
-            "_caches": DERIVED,
-            "_pause": FIXED,
+            "_actions": "handed over already",
             "_handlers": FIXED,
+            "candidates": WIRING,
+            "outcomes": WIRING,
             "handle": "wrapped for the observer",
         },
     ),
+    EndpointDirectory: Fields(
+        "endpoints cache_outliers source_outliers cache_budget parent_budget",
+        {
+            "_settings": FIXED,
+            "_ejection_time": FIXED,
+            "origins": DERIVED,
+            "parents": DERIVED,
+            "caches": DERIVED,
+        },
+    ),
+    LinkLoads: Fields(
+        "by_endpoint fill_wait origin zone_link",
+        {
+            "_settings": FIXED,
+            "_directory": WIRING,
+            "_client_bandwidth": FIXED,
+            "_shortest_objective": FIXED,
+            "_zone_share": FIXED,
+            "_crowded_at": FIXED,
+            "_zone_link_transfers": FIXED,
+        },
+    ),
+    CopyTracker: Fields("last_used", {"_lifetime": FIXED, "_purges": WIRING}),
+    RetryBudget: Fields("tokens", {"ratio": FIXED, "burst": FIXED}),
+    CandidateSelector: Fields("", {"_directory": WIRING, "_loads": WIRING, "_popularity": WIRING}),
+    OutcomeRecorder: Fields(
+        "",
+        {
+            "_directory": WIRING,
+            "_loads": WIRING,
+            "_popularity": WIRING,
+            "_copies": WIRING,
+            "_report": WIRING,
+        },
+    ),
     PendingRequest: Fields(
         "work deadline latency_objective attempts missed spares_origin tried_endpoints failed_sources",
         {"request": DERIVED, "settings": DERIVED, "rejection_reason": REPORTED},
@@ -79,25 +113,26 @@
 }
 
 
-def encode_director(director: policy.RoutingPolicy, frame: Frame) -> tuple[Any, ...]:
+def encode_director(policy: RoutingPolicy, frame: Frame) -> tuple[Any, ...]:
     """The decision module, in a form that can be sorted and compared."""
+    directory, loads = policy.directory, policy.loads
     return (
-        tuple(frame.node(director._listed[key]) for key in sorted(director._listed)),
-        _popularity(director._popularity, frame),
-        tuple(_known_health(each, frame) for each in (director._cache_health, director._source_health)),
-        tuple(_cold_budget(each, frame) for each in (director._cold_caches, director._cold_parents)),
+        tuple(frame.node(directory.endpoints[key]) for key in sorted(directory.endpoints)),
+        _popularity(policy.popularity, frame),
+        tuple(_outliers(each, frame) for each in (directory.cache_outliers, directory.source_outliers)),
+        tuple(_slow_start(each, frame) for each in (directory.cache_budget, directory.parent_budget)),
         tuple(
-            (key, frame.time(at), frame.time(told))
-            for key, (at, told) in sorted(director._purges._purges.items())
+            (key, frame.time(purge.purged_at), frame.time(purge.received_at))
+            for key, purge in sorted(policy.purges._purges.items())
         ),
-        tuple(sorted((frame.place(req), *_held(held, frame)) for req, held in director._held.items())),
-        tuple((key, *_load(load, frame)) for key, load in sorted(director._loads.items())),
-        rounded(director._wait),
-        _load(director._origin, frame),
-        _load(director._link, frame),
-        tuple((key, frame.time(at)) for key, at in sorted(director._copies.items())),
-        tuple((each.requests, rounded(each.mean)) for each in director._mean_work),
-        rounded(director._retry_budget.tokens),
+        tuple(sorted((frame.place(req), *_pending(each, frame)) for req, each in policy.pending.items())),
+        tuple((key, *_load(load, frame)) for key, load in sorted(loads.by_endpoint.items())),
+        rounded(loads.fill_wait),
+        _load(loads.origin, frame),
+        _load(loads.zone_link, frame),
+        tuple((key, frame.time(at)) for key, at in sorted(policy.copies.last_used.items())),
+        tuple((each.requests, rounded(each.mean)) for each in policy.mean_work),
+        rounded(policy.retry_budget.tokens),
     )
 
 
@@ -118,27 +153,27 @@
     )
 
 
-def _known_health(nodes: dict[int, OutlierDetector], frame: Frame) -> tuple[Any, ...]:
-    """The health of the nodes of which anything is known."""
+def _outliers(detectors: dict[int, OutlierDetector], frame: Frame) -> tuple[Any, ...]:
+    """The outlier detectors of the endpoints of which anything is known."""
     return tuple(
         (key, *found)
-        for key, health in sorted(nodes.items())
-        if (found := _health(health, frame)) is not None
+        for key, detector in sorted(detectors.items())
+        if (found := _outlier(detector, frame)) is not None
     )
 
 
-def _health(health: OutlierDetector, frame: Frame) -> tuple[float, ...] | None:
-    """A node's health; None if nothing is known."""
+def _outlier(detector: OutlierDetector, frame: Frame) -> tuple[float, ...] | None:
+    """The outlier detector of an endpoint; None if nothing is known."""
     found = (
-        frame.time(health.last_success),
-        float(health.failure_score),
-        frame.time(health.ejected_until),
-        frame.time(health.last_reset),
+        frame.time(detector.last_success),
+        float(detector.failure_score),
+        frame.time(detector.ejected_until),
+        frame.time(detector.last_reset),
     )
     return None if found == (-math.inf, 0.0, -math.inf, -math.inf) else found
 
 
-def _cold_budget(budget: SlowStartBudget, frame: Frame) -> tuple[Any, ...]:
+def _slow_start(budget: SlowStartBudget, frame: Frame) -> tuple[Any, ...]:
     return tuple(
         (key, tuple((frame.time(each.charged_at), rounded(each.work)) for each in charges))
         for key, charges in sorted(budget.charges.items())
@@ -175,15 +210,15 @@
     )
 
 
-def _held(held: PendingRequest, frame: Frame) -> tuple[Any, ...]:
-    """A request that the decision module has in flight."""
+def _pending(pending: PendingRequest, frame: Frame) -> tuple[Any, ...]:
+    """A request that has no final answer yet."""
     return (
-        rounded(held.work),
-        frame.time(held.deadline),
-        rounded(held.latency_objective),
-        tuple(_attempt(attempt, frame) for attempt in held.attempts),
-        held.missed,
-        held.spares_origin,
-        tuple(sorted(held.tried_endpoints)),
-        tuple(sorted(held.failed_sources)),
+        rounded(pending.work),
+        frame.time(pending.deadline),
+        rounded(pending.latency_objective),
+        tuple(_attempt(attempt, frame) for attempt in pending.attempts),
+        pending.missed,
+        pending.spares_origin,
+        tuple(sorted(pending.tried_endpoints)),
+        tuple(sorted(pending.failed_sources)),
     )
--- a/edge_router/model_checker/model/settling.py
+++ b/edge_router/model_checker/model/settling.py
@@ -17,7 +17,7 @@
 def held_resources(state: ModelState) -> dict[str, float]:
     """How much of each kind of resource the router holds; all are 0 in a quiet state."""
     route, director, session = state.harness.route, state.harness.route._policy, state.clients.session
-    loads = [*director._loads.values(), director._link]
+    loads = [*director.loads.by_endpoint.values(), director.loads.zone_link]
     session_ids = 0 if session.finished else len(session._decoder.open)
     unsent_answers = 0 if session.finished else len(session._answers) + session._unsent
     attempts_out = sum(abs(load.in_flight) for load in loads)
@@ -31,6 +31,6 @@
         "requests of the front": len(state.harness.front._open),
         "ids of the client": session_ids,
         "answers unsent": unsent_answers,
-        "requests in the module": len(director._held),
+        "requests in the module": len(director.pending),
         "load in the module": attempts_out + work_out,
     }
--- a/edge_router/model_checker/mutations/decision.py
+++ b/edge_router/model_checker/mutations/decision.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from edge_router.decision import policy, purges, rules
+from edge_router.decision import link_loads, policy, purges, rules
 from edge_router.model_checker.mutations.common import Mutation
 
 DECISION_MUTATIONS: tuple[Mutation, ...] = (
@@ -64,7 +64,7 @@
     Mutation(
         "error-proves-nothing-ran",
         policy.RoutingPolicy,
-        "_on_end",
+        "_on_attempt_ended",
         "attempt.may_have_run = event.outcome not in rules.PROVES_NOT_RUN",
         "attempt.may_have_run = event.outcome is Outcome.TIMEOUT",
         ("confirm", "keyed"),
@@ -82,9 +82,9 @@
     Mutation(
         "more-attempts-than-allowed",
         policy.RoutingPolicy,
-        "_leave",
-        "len(held.attempts) >= settings.max_attempts\n        or",
-        "",
+        "_may_send",
+        "if len(pending.attempts) >= self._settings.max_attempts:",
+        "if False:",
         ("answers", "links"),
         "allowed-attempts",
     ),
@@ -92,7 +92,7 @@
         "nothing-called-off",
         policy.RoutingPolicy,
         "_close",
-        "if self._set.cancellation_allowed:",
+        "if self._settings.cancellation_allowed:",
         "if False:",
         ("hedge",),
         "cancelled",
@@ -100,16 +100,16 @@
     Mutation(
         "given-up-unanswered",
         policy.RoutingPolicy,
-        "_on_end",
-        "self._give_up(held)",
+        "_on_attempt_ended",
+        "self._give_up(pending)",
         "pass",
         ("confirm", "answers"),
         "decided",
     ),
     Mutation(
         "load-not-taken-off",
-        policy.RoutingPolicy,
-        "_ended",
+        link_loads.LinkLoads,
+        "end_attempt",
         "attempt.cache_load.in_flight -= 1",
         "pass",
         ("hedge",),
--- a/edge_router/model_checker/reach.py
+++ b/edge_router/model_checker/reach.py
@@ -23,7 +23,20 @@
 ROOT = Path(edge_router.__file__).parent
 WALKS, WALK_STEPS = 3, 1500
 CORE = (
+    "decision/candidate_selector.py",
+    "decision/copy_tracker.py",
+    "decision/endpoint_directory.py",
+    "decision/link_load.py",
+    "decision/link_loads.py",
+    "decision/outcome_recorder.py",
+    "decision/outlier_detection.py",
+    "decision/pending_request.py",
+    "decision/placement.py",
     "decision/policy.py",
+    "decision/popularity.py",
+    "decision/purges.py",
+    "decision/retry_budget.py",
+    "decision/slow_start.py",
     "proxy/exchange.py",
     "runtime/timers.py",
     "runtime/memory_budget.py",
@@ -47,27 +60,47 @@
 # Why lines may be missed: file, pattern of function names, reason. The first that matches holds.
 REASONS: tuple[tuple[str, str, str], ...] = (
     (
-        "decision/policy.py",
-        "note|_evict|_rescale|_rebuild|rank|admitted|byte_share|_spread|_cache_choices",
+        "decision/popularity.py",
+        "record_request|_drop_less_popular_half|_rescale|_rank_objects|cache_rank|in_top_set|byte_share",
         "popularity of thousands of requests; a scope has two, a walk hundreds",
     ),
     (
-        "decision/policy.py",
-        "_has_copy|_copied|_crowded|_link_crowded|learn|pace",
+        "decision/candidate_selector.py",
+        "_spread|caches|_by_load|relative_load",
+        "popularity of thousands of requests; a scope has two, a walk hundreds",
+    ),
+    ("decision/copy_tracker.py", "has_copy|record", "load of a crowded link; the bench's days play it"),
+    (
+        "decision/link_loads.py",
+        "is_crowded|zone_link_is_crowded",
         "load of a crowded link; the bench's days play it",
     ),
     (
-        "decision/policy.py",
-        "present|fits",
-        "a cold budget that is used up takes more requests than a scope has",
+        "decision/link_load.py",
+        "update_capacity|expected_slowdown",
+        "load of a crowded link; the bench's days play it",
+    ),
+    (
+        "decision/slow_start.py",
+        "available_capacity|allows",
+        "a slow-start budget that is used up takes more requests than a scope has",
     ),
     (
         "decision/policy.py",
-        "_on_list|_on_request|Director.__init__|handle",
+        "_on_endpoint_list|_on_request|handle",
         "polled lists and unknown classes, which only the simulator has",
     ),
-    ("decision/policy.py", "_leave|_may_repeat|_copy_wanted", "cold budgets, no second copies, stale times"),
-    ("decision/policy.py", "_on_end", "late events, which the stages never send"),
+    (
+        "decision/link_loads.py",
+        "LinkLoads.__init__",
+        "settings without classes, which only the simulator has",
+    ),
+    (
+        "decision/policy.py",
+        "_send|_may_send|_charge_slow_start|_new_attempt|_max_copy_age|_fill_mode",
+        "slow-start budgets, no hedged requests, stale lifetimes",
+    ),
+    ("decision/policy.py", "_on_attempt_ended", "late events, which the proxy never sends"),
     ("proxy/exchange.py", "__init__", "bad requests: tests/test_router.py"),
     ("runtime/timers.py", "next_due|_make", "an alarm that raises; the seeded faults and tests play it"),
     ("proxy/accounting.py", "ended", "the second line against a second end: every caller looks first"),
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -110,6 +110,9 @@
 
 def test_hash_rings_of_a_replaced_endpoint_list_are_freed(policy: PolicyHarness) -> None:
     policy.request(key=1)
-    held = [weakref.ref(policy.routing_policy._caches), weakref.ref(policy.routing_policy._parents)]
+    held = [
+        weakref.ref(policy.routing_policy.directory.caches),
+        weakref.ref(policy.routing_policy.directory.parents),
+    ]
     policy.update_endpoint(CACHES[0], UpdateKind.DELTA, weight=3.0)
     assert [ring() for ring in held] == [None, None]
--- a/tests/test_policy_load.py
+++ b/tests/test_policy_load.py
@@ -12,7 +12,7 @@
 
 
 def test_overloaded_cache_is_skipped_in_hash_order(policy: PolicyHarness) -> None:
-    order = policy.routing_policy._caches.ranked(1)
+    order = policy.routing_policy.directory.caches.ranked(1)
     asked = [started_attempts(policy.request(key=1, size_kb=600.0)) for _ in range(12)]
     used = [attempt[0].endpoint_id for attempt in asked if attempt]
     assert used[0] == order[0] and used[-1] != order[0]
@@ -42,14 +42,14 @@
     policy = PolicyHarness(settings, [n._replace(weight=500.0) for n in make_endpoints()])
     out = [started_attempts(policy.request(key=key, size_kb=400.0))[0] for key in range(12)]
     assert all(attempt.source_id in PARENTS for attempt in out)
-    policy.routing_policy._link.record_transfer(policy.now, 4000.0, 400.0)
+    policy.routing_policy.loads.zone_link.record_transfer(policy.now, 4000.0, 400.0)
     look = started_attempts(policy.request(key=99, size_kb=400.0))[0]
     assert look.source_id == look.endpoint_id
 
 
 def test_slow_responses_from_one_cache_move_large_objects_to_the_next(policy: PolicyHarness) -> None:
     """Other routers overload the cache: this one has hardly any requests there itself."""
-    order = policy.routing_policy._caches.ranked(1)
+    order = policy.routing_policy.directory.caches.ranked(1)
     for _ in range(4):
         attempt = started_attempts(policy.request(key=1))[0]
         assert attempt.endpoint_id == order[0]
@@ -73,7 +73,7 @@
     for key in range(12):
         attempt: StartAttempt | None = started_attempts(policy.request(key=key, size_kb=1.0))[0]
         while attempt:
-            number = len(policy.routing_policy._held[attempt.request_number].attempts) - 1
+            number = len(policy.routing_policy.pending[attempt.request_number].attempts) - 1
             more = started_attempts(
                 policy.end_attempt(
                     attempt, Outcome.OVERLOADED, note=FillResult.ORIGIN_FAILED, attempt_index=number
@@ -95,13 +95,13 @@
     policy = PolicyHarness(
         make_settings(endpoints_weighted=True), [n._replace(weight=100.0) for n in make_endpoints()]
     )
-    slow = policy.routing_policy._caches.ranked(1)[0]
+    slow = policy.routing_policy.directory.caches.ranked(1)[0]
     for key in range(60):
         attempt = started_attempts(policy.request(key=key, size_kb=100.0))[0]
         policy.end_attempt(
             attempt, wait=1500.0 if attempt.endpoint_id == slow else 100.0, note=FillResult.FILLED
         )
-    assert policy.routing_policy._link.slowdown(policy.now) < 2.0
+    assert policy.routing_policy.loads.zone_link.slowdown(policy.now) < 2.0
     assert started_attempts(policy.request(key=1, size_kb=600.0))[0].source_id in PARENTS
 
 
@@ -135,10 +135,10 @@
     for key in range(1, 41):
         policy.request(key=key, size_kb=400.0)
     for key in range(1, 41):
-        node, took = policy.routing_policy._held[key].attempts[0].endpoint_id, 1200.0
+        node, took = policy.routing_policy.pending[key].attempts[0].endpoint_id, 1200.0
         policy.handle(AttemptEnded(key, 0, node, Outcome.OK, took, True, FillResult.FILLED, 0.0, ()))
     policy.now += 60_000.0
-    assert policy.routing_policy._link.slowdown(policy.now) < 1.1
+    assert policy.routing_policy.loads.zone_link.slowdown(policy.now) < 1.1
     out = [started_attempts(policy.request(key=key, size_kb=400.0))[0] for key in range(100, 160)]
     assert out[0].source_id in PARENTS and out[-1].source_id == out[-1].endpoint_id
 
@@ -161,7 +161,7 @@
                 (),
             )
         )
-    learned = policy.routing_policy._load(out[-1][0].endpoint_id).capacity
+    learned = policy.routing_policy.loads.of(out[-1][0].endpoint_id).capacity
     assert 1.0 <= learned < math.inf
 
 
@@ -171,8 +171,8 @@
     policy = PolicyHarness(make_settings(endpoints_weighted=True, zone_link_bandwidth=(0.0, 0.0, 0.0)), nodes)
     for key in range(40):
         attempt = started_attempts(policy.request(key=key, size_kb=400.0))[0]
-        assert attempt.source_id == policy.routing_policy._parents.ranked(key)[0]
-    policy.routing_policy._load(attempt.source_id).record_transfer(policy.now, 90_000.0, 1000.0)
+        assert attempt.source_id == policy.routing_policy.directory.parents.ranked(key)[0]
+    policy.routing_policy.loads.of(attempt.source_id).record_transfer(policy.now, 90_000.0, 1000.0)
     assert started_attempts(policy.request(key=39, size_kb=400.0))[0].source_id != attempt.source_id
 
 
--- a/tests/test_policy_outliers.py
+++ b/tests/test_policy_outliers.py
@@ -25,13 +25,13 @@
 def test_restarted_cache_is_not_ejected_for_earlier_failures(policy: PolicyHarness, form: UpdateKind) -> None:
     (attempt,) = started_attempts(policy.request())
     policy.end_attempt(attempt, Outcome.CONNECT_FAILED)
-    assert not policy.routing_policy._cache_health[attempt.endpoint_id].is_available(policy.now)
+    assert not policy.routing_policy.directory.cache_outliers[attempt.endpoint_id].is_available(policy.now)
     nodes = [
         n._replace(started_at=policy.now) if n.endpoint_id == attempt.endpoint_id else n
         for n in policy.endpoints
     ]
     policy.handle(EndpointListUpdate(form, tuple(nodes)))
-    assert policy.routing_policy._cache_health[attempt.endpoint_id].is_available(policy.now)
+    assert policy.routing_policy.directory.cache_outliers[attempt.endpoint_id].is_available(policy.now)
 
 
 def test_unresponsive_cache_is_ejected_after_a_few_attempts(policy: PolicyHarness) -> None:
--- a/tests/test_policy_popularity.py
+++ b/tests/test_policy_popularity.py
@@ -75,5 +75,5 @@
 
 def test_half_life_is_a_multiple_of_the_slow_start_duration() -> None:
     routing_policy = RoutingPolicy(make_settings(slow_start_duration=20_000.0), 1)
-    assert routing_policy._popularity._half_life == COUNT_HALF_LIFE * 20_000.0
+    assert routing_policy.popularity._half_life == COUNT_HALF_LIFE * 20_000.0
     assert RequestReceived(1, 0, 1, 1.0, 1.0, 0, 0).segment == 0
--- a/tests/test_policy_retries.py
+++ b/tests/test_policy_retries.py
@@ -45,7 +45,7 @@
                     attempt[0],
                     Outcome.ERROR,
                     wait=0.1,
-                    attempt_index=len(policy.routing_policy._held[attempt[0].request_number].attempts) - 1,
+                    attempt_index=len(policy.routing_policy.pending[attempt[0].request_number].attempts) - 1,
                 )
             )
     assert sent < 300 * 1.25
--- a/tests/test_policy_robustness.py
+++ b/tests/test_policy_robustness.py
@@ -132,17 +132,17 @@
             policy.end_attempt(attempt, Outcome.RESET)
     policy.update_endpoint(CACHES[0])  # late attempt ends may leave an entry until the next list update
     tables: list[Collection[int]] = [
-        routing_policy._loads,
-        routing_policy._cache_health,
-        routing_policy._source_health,
-        routing_policy._cold_caches.charges,
+        routing_policy.loads.by_endpoint,
+        routing_policy.directory.cache_outliers,
+        routing_policy.directory.source_outliers,
+        routing_policy.directory.cache_budget.charges,
     ]
     assert all(set(table) <= {*CACHES, *PARENTS, ORIGIN} for table in tables)
-    assert min(load.in_flight for load in routing_policy._loads.values()) >= 0
+    assert min(load.in_flight for load in routing_policy.loads.by_endpoint.values()) >= 0
 
 
 def test_records_of_old_copies_are_dropped(policy: PolicyHarness) -> None:
     for key in range(2000):
         policy.end_attempt(started_attempts(policy.request(key=key, size_kb=1.0, wait=20.0))[0])
-    kept = len(policy.routing_policy._copies)
-    assert 0 < kept <= policy.routing_policy._set.slow_start_duration / 20.0 + 1
+    kept = len(policy.routing_policy.copies.last_used)
+    assert 0 < kept <= policy.routing_policy._settings.slow_start_duration / 20.0 + 1
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -304,7 +304,7 @@
 def test_purge_history_is_bounded(policy: PolicyHarness) -> None:
     for n in range(20_000):
         policy.handle(PurgeReceived(0.0, 0, n + 1), 10.0)
-    assert len(policy.routing_policy._purges._purges) < 3000
+    assert len(policy.routing_policy.purges._purges) < 3000
 
 
 def test_uncacheable_request_is_filled_from_origin_and_not_cached() -> None:
