--- a/edge_router/model_checker/fingerprint/__init__.py
+++ b/edge_router/model_checker/fingerprint/__init__.py
@@ -72,6 +72,7 @@
         router.admission,
         router.accounting,
         router.response_handler,
+        router.response_handler.validator,
         router._discovery_updates,
         router.dispatcher,
         router.dispatcher.pool,
@@ -83,16 +84,22 @@
         session,
         session._decoder,
         policy,
-        policy._popularity,
-        policy._purges,
-        policy._cold_caches,
-        policy._link,
+        policy.popularity,
+        policy.purges,
+        policy.directory,
+        policy.directory.cache_budget,
+        policy.loads,
+        policy.loads.zone_link,
+        policy.copies,
+        policy.retry_budget,
+        policy.candidates,
+        policy.outcomes,
     ]
     for request in router.requests:
         parts += [request, *request.attempts]
     for channel in harness.channels:
         parts += [channel, channel.sock, channel.connection, channel.decoder]
-    for pending in policy._held.values():
+    for pending in policy.pending.values():
         parts += [pending, *pending.attempts]
-    parts += list(policy._cache_health.values())
+    parts += list(policy.directory.cache_outliers.values())
     return parts
--- a/tests/test_model_checker_coverage.py
+++ b/tests/test_model_checker_coverage.py
@@ -20,6 +20,7 @@
     monkeypatch.setattr(reach, "REASONS", reasons)
     assert reach.stale_names() == [
         "CORE: there is no file runtime/none.py",
-        "REASONS: 'absent' of the pattern '_run_callback|Timers.next_due|absent' is no function of runtime/timers.py",
+        "REASONS: 'absent' of the pattern '_run_callback|Timers.next_due|absent' "
+        "is no function of runtime/timers.py",
         "REASONS: there is no file runtime/other.py",
     ]
