--- a/edge_router/model_checker/fingerprint/proxy.py
+++ b/edge_router/model_checker/fingerprint/proxy.py
@@ -231,7 +231,7 @@
         attempt.index,
         _order(attempt.instruction, frame),
         frame.time(attempt.created_at),
-        frame.time(attempt.sent_at),
+        frame.time(attempt.sent_at or 0.0),
         attempt.purged,
         attempt.ended,
         attempt.reassigned,
--- a/edge_router/proxy/accounting.py
+++ b/edge_router/proxy/accounting.py
@@ -48,7 +48,7 @@
         if note:
             self.counts[f"fill_{FillResult(note).name.lower()}"] += 1
         request, order = attempt.request, attempt.instruction
-        took = self._clock.now() - (attempt.sent_at or attempt.created_at)
+        took = self._clock.now() - attempt.started_at
         if outcome in TOLD:
             log_rate_limited(
                 "attempt-failed",
--- a/edge_router/proxy/dispatcher.py
+++ b/edge_router/proxy/dispatcher.py
@@ -128,7 +128,7 @@
     def cancel(self, attempt: Attempt, outcome: Outcome = Outcome.CANCELLED) -> None:
         """End an attempt; if it was written, abort it by its id."""
         connection = self._connection_of.get(attempt)
-        if attempt.sent_at and connection is not None and not connection.channel.closed:
+        if attempt.sent_at is not None and connection is not None and not connection.channel.closed:
             request_id = attempt.request.incoming.request_id
             connection.abandoned_ids.append(request_id)
             connection.channel.send(AbortCommand(request_id))
@@ -148,10 +148,10 @@
                 connected=connection.channel.connected,
                 connection_age_ms=now - connection.opened_at,
                 silent_ms=now - connection.last_received_at,
-                sent_ago_ms=now - attempt.sent_at if attempt.sent_at else -1.0,
+                sent_ago_ms=-1.0 if attempt.sent_at is None else now - attempt.sent_at,
                 open=len(connection.attempts),
             )
-        self.cancel(attempt, Outcome.TIMEOUT if attempt.sent_at else Outcome.CONNECT_FAILED)
+        self.cancel(attempt, Outcome.CONNECT_FAILED if attempt.sent_at is None else Outcome.TIMEOUT)
 
     def _finish(self, attempt: Attempt, outcome: Outcome) -> None:
         self._detach(attempt)
@@ -172,7 +172,7 @@
         request_id = array[0].decode("latin-1")
         response = CacheResponse(array[1].decode("latin-1"), resp.fields_of(array[2]), array[3])
         attempt = connection.attempts.get(request_id)
-        if attempt is None or not attempt.sent_at:
+        if attempt is None or attempt.sent_at is None:
             if request_id in connection.abandoned_ids:
                 connection.last_received_at = self._clock.now()
             return
@@ -200,10 +200,10 @@
         for attempt in list(connection.attempts.values()):
             if attempt.ended:
                 continue
-            if connection.channel.connected and not attempt.sent_at and not attempt.reassigned:
+            if connection.channel.connected and attempt.sent_at is None and not attempt.reassigned:
                 attempt.reassigned = True
                 self._detach(attempt)
                 self._place(attempt)
             else:
                 unsent = Outcome.NOT_SENT if connection.channel.local_shortage else Outcome.CONNECT_FAILED
-                self._finish(attempt, Outcome.RESET if attempt.sent_at else unsent)
+                self._finish(attempt, unsent if attempt.sent_at is None else Outcome.RESET)
--- a/edge_router/proxy/fetch_command.py
+++ b/edge_router/proxy/fetch_command.py
@@ -57,7 +57,7 @@
 
     def on_not_written(self) -> None:
         """Record that not one byte was written, so the attempt has surely not run."""
-        self.attempt.sent_at = 0.0
+        self.attempt.sent_at = None
 
 
 @dataclass(slots=True, eq=False)
--- a/edge_router/proxy/invariants.py
+++ b/edge_router/proxy/invariants.py
@@ -50,7 +50,9 @@
         self._broken(rule, attempt.request, f"s-{attempt.instruction.endpoint_id:08x}")
 
     def _repeat(self, attempt: Attempt, now: float) -> None:
-        others = [other for other in attempt.request.attempts if other is not attempt and other.sent_at]
+        others = [
+            other for other in attempt.request.attempts if other is not attempt and other.sent_at is not None
+        ]
         if not self._settings.hedging_allowed and any(not other.ended for other in others):
             self._attempt_broken("second_copy", attempt)
         cls = self._class(attempt.request)
@@ -59,7 +61,7 @@
             return
         if cls.idempotency is Idempotency.NONE:
             self._attempt_broken("unsafe_repeat", attempt)
-        elif now > rules.repeat_until(cls, min(other.sent_at for other in ran)):
+        elif now > rules.repeat_until(cls, min(other.started_at for other in ran)):
             self._attempt_broken("repeat_after_window", attempt)
 
     def check_response(self, request: ActiveRequest, verdict: ResponseStatus, now: float) -> None:
--- a/edge_router/proxy/request_router.py
+++ b/edge_router/proxy/request_router.py
@@ -162,7 +162,7 @@
             self.response_handler.client_disconnected(request)
             self.post(ClientDisconnected(request.request_number))
             for attempt in list(request.attempts):
-                if not attempt.sent_at:
+                if attempt.sent_at is None:
                     self.dispatcher.check_sendable(attempt)
 
     def response_without_decision(self, request: ActiveRequest) -> FinalResponse:
--- a/edge_router/proxy/request_table.py
+++ b/edge_router/proxy/request_table.py
@@ -21,16 +21,21 @@
     index: int
     instruction: StartAttempt
     created_at: float
-    sent_at: float = 0.0  # when its first byte was written; 0: not sent
+    sent_at: float | None = None  # when its first byte was written; None: not sent
     purged: bool = False  # a purge of its object arrived after the instruction
     ended: bool = False
     reassigned: bool = False  # it has been moved to another connection once
     timeout_timer: TimerHandle | None = None
     outcome: Outcome | None = None  # once it has ended
 
+    @property
+    def started_at(self) -> float:
+        """When it was sent, or else created."""
+        return self.created_at if self.sent_at is None else self.sent_at
+
     def may_have_run(self) -> bool:
         """Return whether it was sent and nothing proves that it did not run."""
-        return self.sent_at > 0 and self.outcome not in PROVES_NOT_RUN
+        return self.sent_at is not None and self.outcome not in PROVES_NOT_RUN
 
 
 @dataclass(slots=True, eq=False)
@@ -98,5 +103,5 @@
             attempt
             for request in self._by_number.values()
             for attempt in request.attempts
-            if not attempt.ended and not attempt.sent_at
+            if not attempt.ended and attempt.sent_at is None
         ]
--- a/edge_router/proxy/response_handler.py
+++ b/edge_router/proxy/response_handler.py
@@ -112,7 +112,7 @@
         note = _NOTES.get(reply.fields.get("tell", ""), FillResult.NONE)
         born = _number(reply.fields.get("born", ""))
         if outcome is Outcome.OK and note is FillResult.FILLED_BY_ORIGIN and born:
-            self._peer_clock.observe_copy(born, attempt.sent_at, self._clock.now())
+            self._peer_clock.observe_copy(born, attempt.started_at, self._clock.now())
         if outcome is Outcome.OK and (wrong := self._wrong(attempt, reply)):
             log_rate_limited(
                 "invalid-response",
@@ -143,9 +143,9 @@
         if cls.uncacheable:
             return ""
         born = _number(reply.fields.get("born", "")) or 0.0
-        if born < self._purges.newest_purge_time(asked.object_key, asked.purge_group, attempt.sent_at):
+        if born < self._purges.newest_purge_time(asked.object_key, asked.purge_group, attempt.started_at):
             return "older than a purge"
-        oldest, age = self._oldest(cls, attempt), attempt.sent_at - self._peer_clock.to_local(born)
+        oldest, age = self._oldest(cls, attempt), attempt.started_at - self._peer_clock.to_local(born)
         return f"{age:.0f} ms old, asked for {oldest:.0f}" if oldest and age > oldest + SLACK else ""
 
     @staticmethod
--- a/edge_router/proxy/upstream_connections.py
+++ b/edge_router/proxy/upstream_connections.py
@@ -67,5 +67,5 @@
             return True
         if len(self.attempts) >= max_streams:
             return False
-        oldest = min(attempt.sent_at or attempt.created_at for attempt in self.attempts.values())
+        oldest = min(attempt.started_at for attempt in self.attempts.values())
         return now - max(oldest, self.last_received_at) < max_silence
