--- a/edge_router/proxy/accounting.py
+++ b/edge_router/proxy/accounting.py
@@ -54,7 +54,7 @@
         if fill_result:
             self.counts[f"fill_{fill_result.name.lower()}"] += 1
         request = attempt.request
-        duration = self._clock.now() - (attempt.sent_at or attempt.created_at)
+        duration = self._clock.now() - attempt.started_at
         if outcome in LOGGED_OUTCOMES:
             self._log_failure(attempt, outcome, fill_result, duration)
         self._post(
--- a/edge_router/proxy/invariants.py
+++ b/edge_router/proxy/invariants.py
@@ -72,7 +72,9 @@
             self._report(Invariant.CLOSED_WITH_RESPONSE, request)
 
     def _check_retry(self, attempt: Attempt, now: float) -> None:
-        sent = [other for other in attempt.request.attempts if other is not attempt and other.sent_at]
+        sent = [
+            other for other in attempt.request.attempts if other is not attempt and other.sent_at is not None
+        ]
         if not self._settings.hedging_allowed and any(not other.ended for other in sent):
             self._report_attempt(Invariant.NO_HEDGED_REQUEST, attempt)
         class_settings = self._class_settings(attempt.request)
@@ -81,7 +83,7 @@
             return
         if class_settings.idempotency is Idempotency.NONE:
             self._report_attempt(Invariant.NO_RETRY_WITHOUT_IDEMPOTENCY, attempt)
-        elif now > rules.repeat_until(class_settings, min(other.sent_at for other in executed)):
+        elif now > rules.repeat_until(class_settings, min(other.started_at for other in executed)):
             self._report_attempt(Invariant.RETRY_WITHIN_DEDUPLICATION_WINDOW, attempt)
 
     def _class_settings(self, request: ActiveRequest) -> ClassSettings:
--- a/edge_router/proxy/response_handler.py
+++ b/edge_router/proxy/response_handler.py
@@ -54,7 +54,7 @@
         fill_result = response.fill_result()
         if outcome is Outcome.OK:
             if fill_result is FillResult.FILLED_BY_ORIGIN and (created_at := response.creation_time()):
-                self._peer_clock.observe_copy(created_at, attempt.sent_at, self._clock.now())
+                self._peer_clock.observe_copy(created_at, attempt.started_at, self._clock.now())
             if defect := self.validator.find_defect(attempt, response):
                 log_rate_limited(
                     "invalid-response",
--- a/edge_router/proxy/response_validation.py
+++ b/edge_router/proxy/response_validation.py
@@ -83,11 +83,13 @@
         if class_settings.uncacheable:
             return None
         created_at = response.creation_time() or 0.0
-        purged_at = self._purges.newest_purge_time(incoming.object_key, incoming.purge_group, attempt.sent_at)
+        purged_at = self._purges.newest_purge_time(
+            incoming.object_key, incoming.purge_group, attempt.started_at
+        )
         if created_at < purged_at:
             return ResponseDefect(DefectKind.PURGED)
         max_age = self._max_age(class_settings, attempt)
-        age = attempt.sent_at - self._peer_clock.to_local(created_at)
+        age = attempt.started_at - self._peer_clock.to_local(created_at)
         if max_age is not None and age > max_age + AGE_TOLERANCE:
             return ResponseDefect(DefectKind.TOO_OLD, age, max_age)
         return None
