--- a/edge_router/config/settings_reader.py
+++ b/edge_router/config/settings_reader.py
@@ -1,4 +1,7 @@
-"""The one reader of the settings, shared by the edge router and the simulator's adapter."""
+"""Reads the settings from JSON, for the edge router and the simulator adapter alike.
+
+Source: WIRE and BENCH, whose keys are mapped to the fields of `decision/settings.py` here and nowhere else.
+"""
 
 from __future__ import annotations
 
@@ -6,63 +9,65 @@
 
 import ujson
 
-from edge_router.decision import settings as i
+from edge_router.decision.settings import ClassSettings, DeduplicationScope, Idempotency, Settings
 
-_EFFECTS = {
-    "pure": i.Idempotency.IDEMPOTENT,
-    "token": i.Idempotency.WITH_KEY,
-    "side_effect": i.Idempotency.NONE,
+_IDEMPOTENCY_BY_EFFECT = {
+    "pure": Idempotency.IDEMPOTENT,
+    "token": Idempotency.WITH_KEY,
+    "side_effect": Idempotency.NONE,
 }
-_GROUPS = {
-    "all": i.DeduplicationScope.ALL,
-    "zone": i.DeduplicationScope.ZONE,
-    "cell": i.DeduplicationScope.CELL,
+_SCOPE_BY_GROUP = {
+    "all": DeduplicationScope.ALL,
+    "zone": DeduplicationScope.ZONE,
+    "cell": DeduplicationScope.CELL,
 }
 
 
-def _need(table: dict[str, Any], key: str, path: str = "") -> Any:
-    """A setting without which nothing can be decided."""
+def _required(table: dict[str, Any], key: str, path: str = "") -> Any:
+    """A setting without which nothing can be decided; raises ValueError if it is missing."""
     if key not in table:
         raise ValueError(f"settings lack '{path}{key}'")
     return table[key]
 
 
-def _at(values: list[Any], place: int, default: Any) -> Any:
-    return values[place] if place < len(values) else default
+def _item(values: list[Any], index: int, default: Any) -> Any:
+    return values[index] if index < len(values) else default
 
 
-def _class(place: int, entry: dict[str, Any], domain: dict[str, Any]) -> i.ClassSettings:
-    path = f"classes[{place}]."
-    deadline = float(_need(entry, "deadline", path))
-    return i.ClassSettings(
-        name=str(entry.get("name", place)),
+def _class_settings(index: int, entry: dict[str, Any], domain: dict[str, Any]) -> ClassSettings:
+    path = f"classes[{index}]."
+    deadline = float(_required(entry, "deadline", path))
+    return ClassSettings(
+        name=str(entry.get("name", index)),
         priority_weight=float(entry.get("importance", 1.0)),
         late_priority_weight=float(entry.get("late_worth", 0.0)),
         latency_objective=float(entry.get("on_time", deadline)),
         latency_objective_per_work=float(entry.get("aim_stretch", 0.0)),
         deadline=deadline,
-        # Guards against harm by what is not told or not known: then nothing is repeated that may have run.
-        idempotency=_EFFECTS.get(entry.get("effect", ""), i.Idempotency.NONE),
-        deduplication_scope=_GROUPS.get(entry.get("group", ""), i.DeduplicationScope.CELL),
+        # Unknown words count as the strictest, so that no request is repeated that must not be.
+        idempotency=_IDEMPOTENCY_BY_EFFECT.get(entry.get("effect", ""), Idempotency.NONE),
+        deduplication_scope=_SCOPE_BY_GROUP.get(entry.get("group", ""), DeduplicationScope.CELL),
         deduplication_window=float(entry.get("window", 0.0)),
-        freshness_lifetime=float(_at(domain.get("lifetime_by_class", []), place, 0.0)),
-        stale_lifetime=float(_at(domain.get("stale_for", []), place, 0.0)),
-        stale_priority_weight=float(_at(domain.get("worth_when_old", []), place, 0.0)),
-        uncacheable=bool(_at(domain.get("never_kept", []), place, False)),
+        freshness_lifetime=float(_item(domain.get("lifetime_by_class", []), index, 0.0)),
+        stale_lifetime=float(_item(domain.get("stale_for", []), index, 0.0)),
+        stale_priority_weight=float(_item(domain.get("worth_when_old", []), index, 0.0)),
+        uncacheable=bool(_item(domain.get("never_kept", []), index, False)),
     )
 
 
-def read_settings(text: str | bytes) -> i.Settings:
-    """Typed settings from the JSON of the simulator's first message."""
+def read_settings(text: str | bytes) -> Settings:
+    """Typed settings from JSON text; raises ValueError if a required one is missing."""
     return settings_from_json(ujson.loads(text))
 
 
-def settings_from_json(table: dict[str, Any]) -> i.Settings:
-    """Typed settings from decoded JSON; unknown keys are skipped."""
+def settings_from_json(table: dict[str, Any]) -> Settings:
+    """Typed settings from decoded JSON; unknown keys are skipped, a missing one raises ValueError."""
     domain, rules, limits = (table.get(part, {}) for part in ("domain", "rules", "limits"))
-    return i.Settings(
-        classes=tuple(_class(n, entry, domain) for n, entry in enumerate(_need(table, "classes"))),
-        zone=int(_need(table, "zone")),
+    return Settings(
+        classes=tuple(
+            _class_settings(n, entry, domain) for n, entry in enumerate(_required(table, "classes"))
+        ),
+        zone=int(_required(table, "zone")),
         fleet_size=int(table.get("fleet_size", 1)),
         routers_by_zone=tuple(int(n) for n in domain.get("instances_by_zone", [])),
         zone_link_bandwidth=tuple(float(n) for n in domain.get("zone_link_kb_per_s", [])),
--- a/edge_router/decision/link_load.py
+++ b/edge_router/decision/link_load.py
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class LinkLoad:
-    """This router's load on one link; 'work' is the time a transfer takes alone on the link."""
+    """The load of one router on one link; 'work' is the time a transfer takes alone on the link."""
 
     capacity: float  # this router's share of the transfers at once; infinite while it is unknown
     headroom: float  # for chance, beyond the capacity, as long as nothing is slowed down
--- a/edge_router/decision/messages.py
+++ b/edge_router/decision/messages.py
@@ -1,7 +1,7 @@
-"""Types that cross the border of the decision module: events and actions. No logic.
+"""The events and actions that cross the border of the decision module; no logic.
 
-Times are milliseconds of the caller's clock, sizes are KB, nodes are opaque whole numbers.
-A class, zone or kind is its place in the lists of the settings.
+Source: WIRE and BENCH. Times are milliseconds of the caller's clock, sizes KB, endpoint ids opaque integers.
+A class, zone or role is its index in the lists of the settings.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class EndpointState(IntEnum):
-    """State of a listed node."""
+    """State of a listed endpoint."""
 
     DRAINING = 0
     GONE = 1
@@ -21,7 +21,7 @@
 
 
 class UpdateKind(IntEnum):
-    """Kind of list report."""
+    """Kind of an update of the endpoint list."""
 
     DELTA = 0
     FULL = 1
@@ -30,7 +30,7 @@
 
 
 class Outcome(IntEnum):
-    """How an attempt ended. FULL, CONNECT_FAILED, MOOT and MISS prove that it did not run."""
+    """How an attempt ended. OVERLOADED, CONNECT_FAILED, NOT_SENT and MISS prove that it did not run."""
 
     OK = 0
     CANCELLED = 1
@@ -61,7 +61,7 @@
 
 
 class Endpoint(NamedTuple):
-    """One entry of a list of nodes."""
+    """One entry of the endpoint list."""
 
     endpoint_id: EndpointId
     role: int
@@ -73,14 +73,14 @@
 
 
 class EndpointListUpdate(NamedTuple):
-    """The list of nodes, or what has changed in it."""
+    """The endpoint list, or what has changed in it."""
 
     kind: UpdateKind
     endpoints: tuple[Endpoint, ...]
 
 
 class RequestReceived(NamedTuple):
-    """A client's request; one final answer is owed from now on."""
+    """A client's request, which must get exactly one final answer."""
 
     request_number: int
     class_index: int
@@ -106,7 +106,7 @@
 
 
 class ResponseStarted(NamedTuple):
-    """The answer of a streamed request has begun."""
+    """The response of a streamed request has started."""
 
     request_number: int
     attempt_index: int
@@ -114,19 +114,19 @@
 
 
 class ClientDisconnected(NamedTuple):
-    """The client has gone."""
+    """The client has disconnected."""
 
     request_number: int
 
 
 class TimerFired(NamedTuple):
-    """A timer has fallen due."""
+    """A timer has fired."""
 
     token: int
 
 
 class PurgeReceived(NamedTuple):
-    """An object, or with key 0 a whole group, was purged `age` ago."""
+    """An object, or with key 0 a whole group, was purged `age` milliseconds ago."""
 
     age: float
     purge_group: int
@@ -134,7 +134,7 @@
 
 
 class HealthCheckResult(NamedTuple):
-    """The result of a probe."""
+    """The result of a health check."""
 
     endpoint_id: EndpointId
     healthy: bool
@@ -155,7 +155,7 @@
 
 
 class FillMode(IntEnum):
-    """Bits of an order to fill."""
+    """Flags that tell a cache how to fill on a miss."""
 
     COALESCE = 1
     CACHED_ONLY = 2
@@ -164,7 +164,7 @@
 
 
 class StartAttempt(NamedTuple):
-    """Ask a cache, with orders for a miss."""
+    """Sends the request to a cache, with instructions for a miss."""
 
     request_number: int
     endpoint_id: EndpointId
@@ -173,11 +173,11 @@
     cache_rank: int
     max_age: float
     fill_mode: int
-    start_before: float = float("inf")  # not to be begun from then on: a repeat would be none any more
+    start_before: float = float("inf")  # later its deduplication window is over
 
 
 class CancelAttempt(NamedTuple):
-    """End the wait for one attempt."""
+    """Cancels one attempt."""
 
     request_number: int
     attempt_index: int
@@ -199,34 +199,34 @@
 
     request_number: int
     retry_after: float
-    reason: str = ""  # for the operators
+    reason: str = ""  # a RejectionReason, for the operators
 
 
 class Fail(NamedTuple):
-    """Final answer: failed, nothing is promised."""
+    """Final answer: failed; a retry may do harm."""
 
     request_number: int
 
 
 class SetTimer(NamedTuple):
-    """Ask for a Due event."""
+    """Asks for a TimerFired event at `fire_at`."""
 
     token: int
     fire_at: float
 
 
 class StartHealthCheck(NamedTuple):
-    """Ask a node for its health."""
+    """Starts a health check of an endpoint."""
 
     endpoint_id: EndpointId
 
 
 class WatchEndpoints(NamedTuple):
-    """Subscribe to changes of the list."""
+    """Subscribes to changes of the endpoint list."""
 
 
 class LogMessage(NamedTuple):
-    """A line for the operators."""
+    """A log line for the operators."""
 
     text: str
 
--- a/edge_router/decision/settings.py
+++ b/edge_router/decision/settings.py
@@ -18,7 +18,7 @@
 
 
 class DeduplicationScope(IntEnum):
-    """Which caches discard repeats of a keyed request together."""
+    """Which caches discard repeats of a request with an idempotency key together."""
 
     ALL = 0
     ZONE = 1
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a director is told at its start."""
+    """The settings of one router."""
 
     classes: tuple[ClassSettings, ...]
     zone: int
--- a/edge_router/decision/slow_start.py
+++ b/edge_router/decision/slow_start.py
@@ -24,7 +24,7 @@
 
 
 class SlowStartBudget:
-    """This router's share of the work that warming endpoints of one role can bear."""
+    """One router's share of the work that warming endpoints of one role can bear."""
 
     def __init__(
         self, initial_capacity: float, duration: float, overload_factor: float, overload_window: float
--- a/edge_router/proxy/dispatch.py
+++ b/edge_router/proxy/dispatch.py
@@ -244,9 +244,9 @@
             self._clock.now(),
             answered=attempt.request.answered,
             purged=attempt.purged,
-            cut_at=order.deadline,
-            begin_by=order.start_before,
-            node_ready=self._endpoints.is_ready(order.endpoint_id),
+            deadline=order.deadline,
+            start_before=order.start_before,
+            endpoint_ready=self._endpoints.is_ready(order.endpoint_id),
             source_ready=order.source_id == order.endpoint_id or self._endpoints.is_ready(order.source_id),
         )
         if denied is not None:
--- a/edge_router/simulator_adapter.py
+++ b/edge_router/simulator_adapter.py
@@ -1,6 +1,8 @@
-"""Wire adapter: reads batches of events on standard input, writes actions on standard output.
+"""The adapter between the simulator and the routing policy.
 
-It hosts one Director for each instance and decides nothing.
+It reads batches of events on standard input and writes the actions on standard output; it hosts one policy
+for each router of the simulation and decides nothing. Source: BENCH, the binary frames of the simulator.
+The numbers of frames and their fields are those of that page.
 """
 
 from __future__ import annotations
@@ -12,35 +14,38 @@
 from typing import Any, BinaryIO
 
 from edge_router.config.settings_reader import read_settings
-from edge_router.decision import messages as i
+from edge_router.decision import messages
 from edge_router.decision.policy import RoutingPolicy
 
-_HEAD = struct.Struct(">dII")
-_REPLY = struct.Struct(">II")
-_INST = struct.Struct(">I")
+_BATCH_HEADER = struct.Struct(">dII")
+_REPLY_HEADER = struct.Struct(">II")
+_INSTANCE = struct.Struct(">I")
 _LAUNCH = struct.Struct(">IQI")
-_LIST = struct.Struct(">IBII")
-_ENTRY = struct.Struct(">BdBHIHHf")
-_INCOMING = struct.Struct(">IIHHQdfffH")
-_DONE = struct.Struct(">IIBIHBdBIdB")
-_DUE = struct.Struct(">II")
-_STARTED = struct.Struct(">IIBIHd")
-_PROBED = struct.Struct(">IdBIHB")
-_PURGED = struct.Struct(">IdHQ")
-_PEER = struct.Struct(">IHH")
-_OUT_GET = struct.Struct(">BIIIHdIHBdB")
-_OUT_CANCEL = struct.Struct(">BIIB")
-_OUT_REFUSE = struct.Struct(">BIId")
-_OUT_FAIL = struct.Struct(">BII")
-_OUT_TIMER = struct.Struct(">BIId")
-_OUT_PROBE = struct.Struct(">BIIH")
-_OUT_WATCH = struct.Struct(">BIB")
-_OUT_TEXT = struct.Struct(">BIH")
-
-_OUTCOMES = {int(o): o for o in i.Outcome}
-_STATES = {int(s): s for s in i.EndpointState}
-_FORMS = {int(f): f for f in i.UpdateKind}
-_LAUNCH_CODE, _STOP_CODE, _LIST_CODE, _PEER_CODE = 70, 50, 30, 90
+_ENDPOINT_LIST = struct.Struct(">IBII")
+_ENDPOINT_ENTRY = struct.Struct(">BdBHIHHf")
+_REQUEST = struct.Struct(">IIHHQdfffH")
+_ATTEMPT_ENDED = struct.Struct(">IIBIHBdBIdB")
+_INSTANCE_AND_NUMBER = struct.Struct(">II")
+_RESPONSE_STARTED = struct.Struct(">IIBIHd")
+_HEALTH_CHECK_RESULT = struct.Struct(">IdBIHB")
+_PURGE = struct.Struct(">IdHQ")
+_PEER_MESSAGE = struct.Struct(">IHH")
+_START_ATTEMPT = struct.Struct(">BIIIHdIHBdB")
+_CANCEL_ATTEMPT = struct.Struct(">BIIB")
+_REJECT = struct.Struct(">BIId")
+_FAIL = struct.Struct(">BII")
+_SET_TIMER = struct.Struct(">BIId")
+_START_HEALTH_CHECK = struct.Struct(">BIIH")
+_WATCH_ENDPOINTS = struct.Struct(">BIB")
+_TEXT = struct.Struct(">BIH")
+
+_OUTCOMES = {int(outcome): outcome for outcome in messages.Outcome}
+_ENDPOINT_STATES = {int(state): state for state in messages.EndpointState}
+_UPDATE_KINDS = {int(kind): kind for kind in messages.UpdateKind}
+_LIST_CODE, _STOP_CODE, _LAUNCH_CODE, _PEER_CODE = 30, 50, 70, 90
+_LOG_CODE, _ERROR_CODE = 50, 100
+_MAX_TEXT_BYTES = 60_000
+_ERROR_LINES = 6  # of a traceback
 
 
 class WireError(Exception):
@@ -51,170 +56,208 @@
     return struct.unpack_from(f">{count}f", body, at), at + 4 * count
 
 
-def _read_request(body: bytes, at: int) -> tuple[int, i.Event, int]:
-    inst, req, kind, _, key, grace, size, group, part, _ = _INCOMING.unpack_from(body, at)
-    return inst, i.RequestReceived(req, kind, key, grace, size, int(group), int(part)), at + _INCOMING.size
+def _read_request(body: bytes, at: int) -> tuple[int, messages.Event, int]:
+    instance, number, class_index, _, key, remaining, size_kb, group, segment, _ = _REQUEST.unpack_from(
+        body, at
+    )
+    return (
+        instance,
+        messages.RequestReceived(number, class_index, key, remaining, size_kb, int(group), int(segment)),
+        at + _REQUEST.size,
+    )
 
 
-def _read_done(body: bytes, at: int) -> tuple[int, i.Event, int]:
-    inst, req, attempt, addr, port, code, took, closed, note, waited, count = _DONE.unpack_from(body, at)
-    load, end = _floats(body, at + _DONE.size, count)
-    node, outcome = addr << 16 | port, _OUTCOMES.get(code, i.Outcome.UNKNOWN)
-    return inst, i.AttemptEnded(req, attempt, node, outcome, took, bool(closed), note, waited, load), end
+def _read_attempt_ended(body: bytes, at: int) -> tuple[int, messages.Event, int]:
+    instance, number, attempt, address, port, code, duration, closed, result, wait, count = (
+        _ATTEMPT_ENDED.unpack_from(body, at)
+    )
+    load, end = _floats(body, at + _ATTEMPT_ENDED.size, count)
+    endpoint_id, outcome = address << 16 | port, _OUTCOMES.get(code, messages.Outcome.UNKNOWN)
+    return (
+        instance,
+        messages.AttemptEnded(
+            number, attempt, endpoint_id, outcome, duration, bool(closed), result, wait, load
+        ),
+        end,
+    )
 
 
-def _read_due(body: bytes, at: int) -> tuple[int, i.Event, int]:
-    inst, token = _DUE.unpack_from(body, at)
-    return inst, i.TimerFired(token), at + _DUE.size
+def _read_timer_fired(body: bytes, at: int) -> tuple[int, messages.Event, int]:
+    instance, token = _INSTANCE_AND_NUMBER.unpack_from(body, at)
+    return instance, messages.TimerFired(token), at + _INSTANCE_AND_NUMBER.size
 
 
-def _read_started(body: bytes, at: int) -> tuple[int, i.Event, int]:
-    inst, req, attempt, addr, port, _ = _STARTED.unpack_from(body, at)
-    return inst, i.ResponseStarted(req, attempt, addr << 16 | port), at + _STARTED.size
+def _read_response_started(body: bytes, at: int) -> tuple[int, messages.Event, int]:
+    instance, number, attempt, address, port, _ = _RESPONSE_STARTED.unpack_from(body, at)
+    return (
+        instance,
+        messages.ResponseStarted(number, attempt, address << 16 | port),
+        at + _RESPONSE_STARTED.size,
+    )
 
 
-def _read_probed(body: bytes, at: int) -> tuple[int, i.Event, int]:
-    inst, took, code, addr, port, count = _PROBED.unpack_from(body, at)
-    load, end = _floats(body, at + _PROBED.size, count)
-    return inst, i.HealthCheckResult(addr << 16 | port, code == i.Outcome.OK, took, load), end
+def _read_health_check_result(body: bytes, at: int) -> tuple[int, messages.Event, int]:
+    instance, duration, code, address, port, count = _HEALTH_CHECK_RESULT.unpack_from(body, at)
+    load, end = _floats(body, at + _HEALTH_CHECK_RESULT.size, count)
+    return (
+        instance,
+        messages.HealthCheckResult(address << 16 | port, code == messages.Outcome.OK, duration, load),
+        end,
+    )
 
 
-def _read_purged(body: bytes, at: int) -> tuple[int, i.Event, int]:
-    inst, age, group, key = _PURGED.unpack_from(body, at)
-    return inst, i.PurgeReceived(age, group, key), at + _PURGED.size
+def _read_purge(body: bytes, at: int) -> tuple[int, messages.Event, int]:
+    instance, age, group, key = _PURGE.unpack_from(body, at)
+    return instance, messages.PurgeReceived(age, group, key), at + _PURGE.size
 
 
-def _read_left(body: bytes, at: int) -> tuple[int, i.Event, int]:
-    inst, req = _DUE.unpack_from(body, at)
-    return inst, i.ClientDisconnected(req), at + _DUE.size
+def _read_client_disconnected(body: bytes, at: int) -> tuple[int, messages.Event, int]:
+    instance, number = _INSTANCE_AND_NUMBER.unpack_from(body, at)
+    return instance, messages.ClientDisconnected(number), at + _INSTANCE_AND_NUMBER.size
 
 
-def _read_list(body: bytes, at: int) -> tuple[int, i.Event, int]:
-    inst, form, _, count = _LIST.unpack_from(body, at)
-    at += _LIST.size
-    end = at + count * _ENTRY.size
-    nodes = []
-    for kind, started, state, cell, addr, port, zone, weight in _ENTRY.iter_unpack(body[at:end]):
-        state = _STATES.get(state, i.EndpointState.DRAINING)
-        nodes.append(i.Endpoint(addr << 16 | port, kind, started, state, cell, zone, weight))
-    if len(nodes) != count:
+def _read_endpoint_list(body: bytes, at: int) -> tuple[int, messages.Event, int]:
+    instance, kind, _, count = _ENDPOINT_LIST.unpack_from(body, at)
+    at += _ENDPOINT_LIST.size
+    end = at + count * _ENDPOINT_ENTRY.size
+    endpoints = []
+    for role, started_at, state_code, cell, address, port, zone, weight in _ENDPOINT_ENTRY.iter_unpack(
+        body[at:end]
+    ):
+        state = _ENDPOINT_STATES.get(state_code, messages.EndpointState.DRAINING)
+        endpoint_id = address << 16 | port
+        endpoints.append(messages.Endpoint(endpoint_id, role, started_at, state, cell, zone, weight))
+    if len(endpoints) != count:
         raise WireError("a list ends early")
-    return inst, i.EndpointListUpdate(_FORMS.get(form, i.UpdateKind.FAILED), tuple(nodes)), end
+    return (
+        instance,
+        messages.EndpointListUpdate(_UPDATE_KINDS.get(kind, messages.UpdateKind.FAILED), tuple(endpoints)),
+        end,
+    )
 
 
-_READERS: dict[int, Callable[[bytes, int], tuple[int, i.Event, int]]] = {
-    10: _read_purged,
-    20: _read_due,
-    _LIST_CODE: _read_list,
-    40: _read_started,
-    60: _read_done,
+_READERS: dict[int, Callable[[bytes, int], tuple[int, messages.Event, int]]] = {
+    10: _read_purge,
+    20: _read_timer_fired,
+    _LIST_CODE: _read_endpoint_list,
+    40: _read_response_started,
+    60: _read_attempt_ended,
     80: _read_request,
-    100: _read_probed,
-    110: _read_left,
+    100: _read_health_check_result,
+    110: _read_client_disconnected,
 }
 
 
-def _write_get(inst: int, act: i.StartAttempt) -> bytes:
-    node, source = act.endpoint_id, act.source_id
-    return _OUT_GET.pack(
+def _write_start_attempt(instance: int, action: messages.StartAttempt) -> bytes:
+    endpoint_id, source_id = action.endpoint_id, action.source_id
+    return _START_ATTEMPT.pack(
         80,
-        inst,
-        act.request_number,
-        node >> 16,
-        node & 65535,
-        act.deadline,
-        source >> 16,
-        source & 65535,
-        act.cache_rank,
-        act.max_age,
-        act.fill_mode,
+        instance,
+        action.request_number,
+        endpoint_id >> 16,
+        endpoint_id & 65535,
+        action.deadline,
+        source_id >> 16,
+        source_id & 65535,
+        action.cache_rank,
+        action.max_age,
+        action.fill_mode,
     )
 
 
-def _write_text(code: int, inst: int, text: str) -> bytes:
-    data = text.encode("utf-8", "replace")[:60000]
-    return _OUT_TEXT.pack(code, inst, len(data)) + data
+def _write_text(code: int, instance: int, text: str) -> bytes:
+    data = text.encode("utf-8", "replace")[:_MAX_TEXT_BYTES]
+    return _TEXT.pack(code, instance, len(data)) + data
 
 
 _WRITERS: dict[type, Callable[[int, Any], bytes]] = {
-    i.StartAttempt: _write_get,
-    i.CancelAttempt: lambda inst, act: _OUT_CANCEL.pack(30, inst, act.request_number, act.attempt_index),
-    i.Reject: lambda inst, act: _OUT_REFUSE.pack(60, inst, act.request_number, act.retry_after),
-    i.Fail: lambda inst, act: _OUT_FAIL.pack(40, inst, act.request_number),
-    i.SetTimer: lambda inst, act: _OUT_TIMER.pack(110, inst, act.token, act.fire_at),
-    i.StartHealthCheck: lambda inst, act: _OUT_PROBE.pack(
-        20, inst, act.endpoint_id >> 16, act.endpoint_id & 65535
+    messages.StartAttempt: _write_start_attempt,
+    messages.CancelAttempt: lambda instance, action: _CANCEL_ATTEMPT.pack(
+        30, instance, action.request_number, action.attempt_index
+    ),
+    messages.Reject: lambda instance, action: _REJECT.pack(
+        60, instance, action.request_number, action.retry_after
     ),
-    i.WatchEndpoints: lambda inst, act: _OUT_WATCH.pack(70, inst, 1),
-    i.LogMessage: lambda inst, act: _write_text(50, inst, act.text),
+    messages.Fail: lambda instance, action: _FAIL.pack(40, instance, action.request_number),
+    messages.SetTimer: lambda instance, action: _SET_TIMER.pack(110, instance, action.token, action.fire_at),
+    messages.StartHealthCheck: lambda instance, action: _START_HEALTH_CHECK.pack(
+        20, instance, action.endpoint_id >> 16, action.endpoint_id & 65535
+    ),
+    messages.WatchEndpoints: lambda instance, _: _WATCH_ENDPOINTS.pack(70, instance, 1),
+    messages.LogMessage: lambda instance, action: _write_text(_LOG_CODE, instance, action.text),
 }
 
 
 class SimulatorAdapter:
-    """The instances of one process."""
+    """The policies of one simulator process, by instance number."""
 
     def __init__(self) -> None:
         self.policies: dict[int, RoutingPolicy] = {}
 
     def _launch(self, body: bytes, at: int) -> int:
-        inst, entropy, count = _LAUNCH.unpack_from(body, at)
+        instance, entropy, count = _LAUNCH.unpack_from(body, at)
         at += _LAUNCH.size
         if at + count > len(body):
             raise WireError("settings end early")
-        self.policies[inst] = RoutingPolicy(read_settings(body[at : at + count]), entropy)
+        self.policies[instance] = RoutingPolicy(read_settings(body[at : at + count]), entropy)
         return int(at + count)
 
-    def _one(self, now: float, body: bytes, at: int, out: list[bytes]) -> int:
-        """Hands one record to its director; returns where the next begins."""
+    def _handle_record(self, now: float, body: bytes, at: int, out: list[bytes]) -> int:
+        """Hands one record to its policy; returns the offset of the next. Raises WireError."""
         code, at = body[at], at + 1
         if code == _LAUNCH_CODE:
             return self._launch(body, at)
         if code == _STOP_CODE:
-            self.policies.pop(_INST.unpack_from(body, at)[0], None)
-            return at + _INST.size
+            self.policies.pop(_INSTANCE.unpack_from(body, at)[0], None)
+            return at + _INSTANCE.size
         if code == _PEER_CODE:
-            _, _, count = _PEER.unpack_from(body, at)
-            return int(at + _PEER.size + count)
+            _, _, count = _PEER_MESSAGE.unpack_from(body, at)
+            return int(at + _PEER_MESSAGE.size + count)
         reader = _READERS.get(code)
         if reader is None:
             raise WireError(f"unknown event code {code}")
-        inst, event, end = reader(body, at)
-        director = self.policies.get(inst)
-        if director is not None:
-            out.extend(_WRITERS[type(act)](inst, act) for act in director.handle(now, event))
+        instance, event, end = reader(body, at)
+        policy = self.policies.get(instance)
+        if policy is not None:
+            out.extend(_WRITERS[type(action)](instance, action) for action in policy.handle(now, event))
         return end
 
     def batch(self, now: float, count: int, body: bytes) -> bytes:
-        """The reply to one batch."""
+        """The reply to a batch of `count` records; an error of a policy becomes an error record in it.
+
+        Raises WireError if a record cannot be read.
+        """
         out: list[bytes] = []
         at = 0
         for _ in range(count):
             start = at
             try:
-                at = self._one(now, body, at, out)
+                at = self._handle_record(now, body, at, out)
             except (struct.error, IndexError) as error:
                 if start >= len(body) or "unpack" in str(error):
                     raise WireError(f"a record is cut short: {error}") from error
-                out.append(self._bug(body, start))
+                out.append(self._error_record(body, start))
                 break
             except WireError:
                 raise
             except Exception:
-                out.append(self._bug(body, start))
+                out.append(self._error_record(body, start))
                 break
         else:
             if at != len(body):
                 raise WireError("bytes are left over after the last record")
         data = b"".join(out)
-        return _REPLY.pack(len(out), _REPLY.size + len(data)) + data
+        return _REPLY_HEADER.pack(len(out), _REPLY_HEADER.size + len(data)) + data
 
     @staticmethod
-    def _bug(body: bytes, start: int) -> bytes:
-        inst = _INST.unpack_from(body, start + 1)[0]
-        return _write_text(100, inst, "\n".join(traceback.format_exc().splitlines()[-6:]))
+    def _error_record(body: bytes, start: int) -> bytes:
+        instance = _INSTANCE.unpack_from(body, start + 1)[0]
+        return _write_text(
+            _ERROR_CODE, instance, "\n".join(traceback.format_exc().splitlines()[-_ERROR_LINES:])
+        )
 
 
-def _read(stream: BinaryIO, count: int) -> bytes:
+def _read_up_to(stream: BinaryIO, count: int) -> bytes:
     data = b""
     while len(data) < count:
         more = stream.read(count - len(data))
@@ -225,21 +268,21 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answers batches until the input ends."""
-    link = SimulatorAdapter()
-    while head := _read(source, _HEAD.size):
-        if len(head) < _HEAD.size:
+    """Answers batches until the input ends; raises WireError."""
+    adapter = SimulatorAdapter()
+    while head := _read_up_to(source, _BATCH_HEADER.size):
+        if len(head) < _BATCH_HEADER.size:
             raise WireError("the input ends within a header")
-        now, length, count = _HEAD.unpack(head)
-        body = _read(source, length - _HEAD.size) if length >= _HEAD.size else b""
-        if len(body) != length - _HEAD.size:
+        now, length, count = _BATCH_HEADER.unpack(head)
+        body = _read_up_to(source, length - _BATCH_HEADER.size) if length >= _BATCH_HEADER.size else b""
+        if len(body) != length - _BATCH_HEADER.size:
             raise WireError("the input ends within a batch, or its length is wrong")
-        sink.write(link.batch(now, count, body))
+        sink.write(adapter.batch(now, count, body))
         sink.flush()
 
 
 def main() -> int:
-    """Entry point of the adapter."""
+    """Entry point; the exit status is 2 if the input is malformed."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
