--- a/edge_router/proxy/dispatcher.py
+++ b/edge_router/proxy/dispatcher.py
@@ -97,9 +97,9 @@
             self._clock.now(),
             answered=attempt.request.answered,
             purged=attempt.purged,
-            cut_at=instruction.deadline,
-            begin_by=instruction.start_before,
-            node_ready=self._endpoints.is_ready(instruction.endpoint_id),
+            deadline=instruction.deadline,
+            start_before=instruction.start_before,
+            endpoint_ready=self._endpoints.is_ready(instruction.endpoint_id),
             source_ready=self._source_ready(instruction),
         )
         if denial is None:
