--- a/edge_router/model_checker/model/caches.py
+++ b/edge_router/model_checker/model/caches.py
@@ -9,6 +9,7 @@
 from edge_router.model_checker.peers import CacheChannel, PartialResponse, SocketEnd
 from edge_router.model_checker.scope import ANSWERS, NORMAL_ANSWERS, Scope
 from edge_router.protocol import resp
+from edge_router.proxy.fetch_command import FetchCommand
 
 STALE_AGE = 5000.0  # milliseconds by which a stale copy was born before the start
 CHOKED_BYTES = (0, 20)  # bytes that a choked connection still accepts
@@ -242,13 +243,10 @@
         if channel.sock.end:
             return False
         endpoints = self._harness.router.endpoints
-        attempts = [getattr(command, "_attempt", None) for command in channel._queue]
+        attempts = [command.attempt for command in channel._queue if isinstance(command, FetchCommand)]
         return all(
-            attempt is None
-            or (
-                not (attempt.ended or attempt.purged)
-                and endpoints.is_ready(attempt.instruction.endpoint_id)
-                and endpoints.is_ready(attempt.instruction.source_id)
-            )
+            not (attempt.ended or attempt.purged)
+            and endpoints.is_ready(attempt.instruction.endpoint_id)
+            and endpoints.is_ready(attempt.instruction.source_id)
             for attempt in attempts
         )
