--- a/edge_router/proxy/request_router.py
+++ b/edge_router/proxy/request_router.py
@@ -74,15 +74,12 @@
         self.endpoints = EndpointTable()
         self.requests = RequestTable()
         self.admission = AdmissionController(settings, self.requests, budget, transfer_rate, seed)
-        self._undecided: deque[tuple[float, ActiveRequest]] = (
-            deque()
-        )  # with the time at which each was received
+        self._undecided: deque[tuple[float, ActiveRequest]] = deque()  # each with the time of its receipt
         self._wake = wake
         self.accounting = RequestAccounting(settings, clock, self.admission, self.post)
         self.peer_clock = PeerClock(clock)
-        self.purges = PurgeHistory(
-            settings.purge_settle_time * PURGE_RETENTION_FACTOR + settings.purge_notice_time
-        )
+        purge_retention = settings.purge_settle_time * PURGE_RETENTION_FACTOR + settings.purge_notice_time
+        self.purges = PurgeHistory(purge_retention)
         self.response_handler = ResponseHandler(
             settings, self.accounting, clock, self.peer_clock, self.purges
         )
