--- a/edge_router/decision/rules.py
+++ b/edge_router/decision/rules.py
@@ -40,8 +40,8 @@
 ) -> SendDenial | None:
     """Why an attempt whose first byte is about to be written may not be sent; None if it may.
 
-    `answered`: its request has its final answer, or its client has disconnected; `purged`: a purge came after the
-    order; `deadline`, `start_before`: the times by which it has to be answered and to start.
+    `answered`: its request has its final answer, or its client has disconnected; `purged`: a purge came after
+    the order; `deadline`, `start_before`: the times by which it has to be answered and to start.
     """
     if answered:
         return SendDenial.ANSWERED
--- a/edge_router/model_checker/fingerprint/peers.py
+++ b/edge_router/model_checker/fingerprint/peers.py
@@ -11,8 +11,9 @@
 from edge_router.model_checker.model.endpoints import Endpoints
 from edge_router.model_checker.model.harness import Harness
 from edge_router.model_checker.model.state import ModelState
+from edge_router.model_checker.observations import ObservedAttempt, ObservedRequest, RequestState
 from edge_router.model_checker.peers import CacheChannel, UpstreamSocket
-from edge_router.model_checker.properties import ObservedAttempt, ObservedRequest, Observer, RequestState
+from edge_router.model_checker.properties import Observer
 from edge_router.proxy.request_router import RequestRouter
 
 EVENT_HEAD = 13  # bytes of an event of the change log before its payload
--- a/edge_router/model_checker/model/change_log.py
+++ b/edge_router/model_checker/model/change_log.py
@@ -9,7 +9,7 @@
 from edge_router.discovery.events import DiscoveryEvent, EndpointsChanged, ObjectPurged
 from edge_router.model_checker.model.endpoints import Endpoints
 from edge_router.model_checker.model.harness import Harness
-from edge_router.model_checker.properties import ObservedPurge
+from edge_router.model_checker.observations import ObservedPurge
 from edge_router.protocol.buffer import ReceiveBuffer
 from edge_router.protocol.change_log_frames import decode_frames
 
--- a/edge_router/model_checker/model/clients.py
+++ b/edge_router/model_checker/model/clients.py
@@ -8,17 +8,17 @@
 from edge_router.decision.messages import Endpoint, EndpointState, RequestReceived
 from edge_router.decision.placement import RendezvousHash, segment_key
 from edge_router.decision.settings import Idempotency
-from edge_router.model_checker import scope as bounds
 from edge_router.model_checker.model.endpoints import FIRST_CACHE
 from edge_router.model_checker.model.harness import Harness
+from edge_router.model_checker.model_settings import CACHE, CLASS_ORDER, CLASSES
+from edge_router.model_checker.observations import RequestState, ResponseKind
 from edge_router.model_checker.peers import (
     ClientRequestFields,
     ClientSocket,
     ModelClientSession,
     request_bytes,
 )
-from edge_router.model_checker.properties import RequestState, ResponseKind
-from edge_router.model_checker.scope import CACHE, CLASSES, Scope
+from edge_router.model_checker.scope import Scope
 from edge_router.protocol import fastcgi
 from edge_router.proxy.admission import RESPONSE_MARGIN
 from edge_router.proxy.request_router import BACKSTOP_DELAY
@@ -67,7 +67,7 @@
     ring = RendezvousHash(
         [Endpoint(endpoint_id, CACHE, 0.0, EndpointState.READY, 0, 1, 1.0) for endpoint_id in caches], False
     )
-    key = 1000 * (1 + bounds.CLASS_ORDER.index(class_name))
+    key = 1000 * (1 + CLASS_ORDER.index(class_name))
     while ring.ranked(segment_key(RequestReceived(1, 0, key, 0.0, 0.0, 0, 0))) != caches:
         key += 1
     return key
--- a/edge_router/model_checker/model/endpoints.py
+++ b/edge_router/model_checker/model/endpoints.py
@@ -6,7 +6,8 @@
 from dataclasses import dataclass
 
 from edge_router.decision.messages import EndpointState
-from edge_router.model_checker.scope import CACHE, ORIGIN, PARENT, Scope
+from edge_router.model_checker.model_settings import CACHE, ORIGIN, PARENT
+from edge_router.model_checker.scope import Scope
 
 FIRST_CACHE = 0x11  # endpoint id of c1
 FIRST_PORT = 7000
--- a/edge_router/model_checker/model/harness.py
+++ b/edge_router/model_checker/model/harness.py
@@ -6,11 +6,11 @@
 from typing import Any
 
 from edge_router.decision.messages import Action, AttemptEnded, Event, StartAttempt
-from edge_router.model_checker import scope as bounds
 from edge_router.model_checker.model.endpoints import Endpoints
+from edge_router.model_checker.model_settings import CLASSES, model_settings
 from edge_router.model_checker.peers import CacheChannel
 from edge_router.model_checker.properties import Observer
-from edge_router.model_checker.scope import CLASSES, Scope
+from edge_router.model_checker.scope import Scope
 from edge_router.proxy.connection_pool import connection_limit
 from edge_router.proxy.fastcgi_frontend import FastCgiFrontend
 from edge_router.proxy.request_router import RequestRouter
@@ -67,7 +67,7 @@
         self.timers = Timers(self.clock, self._seconds)
         self.budget = MemoryBudget()
         self.budget.limit = MEMORY
-        self.settings = bounds.settings(scope.attempts, scope.cancel)
+        self.settings = model_settings(scope.attempts, scope.cancel)
         self.cpu = FixedCredit()
         self.channels: list[CacheChannel] = []  # those whose end the router has not been notified of
         self.router = RequestRouter(
--- a/edge_router/model_checker/properties.py
+++ b/edge_router/model_checker/properties.py
@@ -6,13 +6,19 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
-from enum import StrEnum
 from typing import NamedTuple
 
 from edge_router.decision.messages import Endpoint, EndpointState, Outcome
 from edge_router.decision.settings import ClassSettings, DeduplicationScope, Idempotency
 from edge_router.model_checker.machine import Violation
+from edge_router.model_checker.observations import (
+    ObservedAttempt,
+    ObservedCopy,
+    ObservedPurge,
+    ObservedRequest,
+    RequestState,
+    ResponseKind,
+)
 from edge_router.proxy.response_validation import AGE_TOLERANCE
 
 
@@ -108,77 +114,6 @@
 }
 
 
-class RequestState(StrEnum):
-    """Where a request is, as its client sees it."""
-
-    OPEN = "open"
-    ANSWERED = "answered"
-    CLIENT_DISCONNECTED = "left"  # its client has stopped waiting
-    OVERDUE = "lost"  # it was reported as overdue
-
-
-class ResponseKind(StrEnum):
-    """The kind of answer that a client has received."""
-
-    SERVED = "served"
-    NOT_MODIFIED = "unchanged"  # the client's own copy is still good
-    REJECTED = "refused"
-    FAILED = "failed"
-
-
-@dataclass(slots=True)
-class ObservedAttempt:
-    """An attempt whose first byte was seen on a socket."""
-
-    number: int
-    endpoint_id: int
-    sent_at: float  # Unix milliseconds
-    known_purges: int = 0  # how many purges the router had been notified of before
-    not_run: bool = False  # the cache itself said that it did not run the request
-    ended: bool = False
-
-
-@dataclass(frozen=True, slots=True)
-class ObservedCopy:
-    """The copy in an answer that has reached the router. Times are Unix milliseconds."""
-
-    created_at: float
-    sent_at: float  # the first byte of the attempt
-    known_purges: int
-
-
-@dataclass(frozen=True, slots=True)
-class ObservedPurge:
-    """A purge that the router was notified of. Times are Unix milliseconds."""
-
-    notified_at: float
-    purged_at: float
-    group: int
-    object_key: int  # 0 for a purge of the whole group
-
-
-@dataclass(slots=True)
-class ObservedRequest:
-    """A request as its client sees it."""
-
-    class_name: str
-    deadline: float  # Unix milliseconds by which it must be answered
-    state: RequestState = RequestState.OPEN
-    attempts: list[ObservedAttempt] = field(default_factory=list)
-    ended_attempts: list[int] = field(
-        default_factory=list
-    )  # attempts whose end the decision module was notified of
-    ordered_attempts: int = 0
-    copies: dict[bytes, ObservedCopy] = field(default_factory=dict)  # by the body of the answer
-    status_codes: dict[int, str] = field(
-        default_factory=dict
-    )  # by attempt: the answer code that reached the router
-
-    def attempt(self, number: int) -> ObservedAttempt | None:
-        """The attempt of that number, if its first byte was seen."""
-        return next((attempt for attempt in self.attempts if attempt.number == number), None)
-
-
 MAX_VIOLATIONS = 8  # further ones of the same run are not recorded
 TOLERANCE = 1.0  # ms by which rounding may move a time
 NOT_RUN_CODES = ("404", "503", "504")
