--- a/edge_router/model_checker/channels.py
+++ b/edge_router/model_checker/channels.py
@@ -208,7 +208,7 @@
                 channel._full,
                 bytes(channel._rest),
                 len(channel._queue),
-                channel.partial_since,
+                channel.partial_since or 0.0,
                 len(channel.buffer),
                 tuple((command.state, command.begun) for command in self.commands),
             ),
--- a/edge_router/model_checker/fingerprint/transport.py
+++ b/edge_router/model_checker/fingerprint/transport.py
@@ -35,12 +35,12 @@
             "_clock": WIRING,
             "_sock": WIRING,
             "_pumping": "false between steps",
-            "_why": REPORTED,
+            "_close_reason": REPORTED,
         },
     ),
     Decoder: Fields("_items _left _bulk", {}),
     ClientSession: Fields(
-        "_decoder _buffer _leaving _partial_since silent _urgent _answers _unsent "
+        "_decoder _buffer _close_reason _partial_since silent _urgent _answers _unsent "
         "_rest _full _broken closing finished",
         {
             "_sock": WIRING,
@@ -72,7 +72,7 @@
         channel.local_shortage,
         channel.connected,
         channel.closed,
-        frame.time(channel.partial_since),
+        frame.time(channel.partial_since or 0.0),
     )
 
 
@@ -85,8 +85,8 @@
         decoder.turned_away,
         decoder.keep,
         len(session._buffer),
-        session._leaving,
-        frame.time(session._partial_since),
+        str(session._close_reason or ""),
+        frame.time(session._partial_since or 0.0),
         session.silent,
         tuple(session._urgent),
         tuple((ident, tuple(records)) for ident, records in session._answers),
--- a/edge_router/model_checker/peers.py
+++ b/edge_router/model_checker/peers.py
@@ -142,7 +142,7 @@
             self.on_received()
         except resp.RespError as error:
             self.closed = True
-            self._why = str(error)
+            self._close_reason = str(error)
         except Exception as error:  # the router would log a bug and end the connection
             self.observer.record_violation("no-slip", repr(error))
             self.closed = True
--- a/edge_router/model_checker/reach.py
+++ b/edge_router/model_checker/reach.py
@@ -170,7 +170,7 @@
     ),
     (
         "transport/client_session.py",
-        "check_timeouts|is_idle|is_quiet|_leave|on_received|_owe",
+        "check_timeouts|is_idle|is_quiet|_start_closing|on_received|_owe",
         "slow and bad clients: tests/test_router.py",
     ),
     ("proxy/fastcgi_frontend.py", "", "bad requests and /status/live: tests/test_router.py"),
--- a/edge_router/server/client_acceptor.py
+++ b/edge_router/server/client_acceptor.py
@@ -17,6 +17,7 @@
 from edge_router.runtime.timers import Timers
 from edge_router.server.supervisor import keep_running
 from edge_router.transport.client_connection import ClientConnection
+from edge_router.transport.close_reason import CloseReason
 from edge_router.transport.receive_age import age_at_accept
 
 IDLE_TIMEOUT = 60_000.0  # ms after which a client connection without open requests is closed
@@ -33,12 +34,14 @@
 EXHAUSTED_DELAY = 0.05  # seconds to the next accept(2) without descriptors or memory
 FINAL_RETRY_DELAY = 0.01  # seconds to the next accept(2) after a shortage at shutdown
 MIN_CLIENTS = 8
-EXPECTED_CLOSE_REASONS = (
-    "closed by the client",
-    "closed by us",
-    "stopping",
-    "room for others",
-    "idle for long",
+EXPECTED_CLOSE_REASONS = frozenset(
+    (
+        CloseReason.CLIENT_CLOSED,
+        CloseReason.CLOSED_LOCALLY,
+        CloseReason.SHUTDOWN,
+        CloseReason.EVICTED,
+        CloseReason.IDLE_TIMEOUT,
+    )
 )
 
 Spawn = Callable[[Callable[[], Awaitable[None]]], None]
@@ -97,7 +100,7 @@
                     return
                 await trio.sleep(FINAL_RETRY_DELAY if is_local_shortage(error) else 0)
 
-    def close_all_idle(self, reason: str) -> None:
+    def close_all_idle(self, reason: CloseReason) -> None:
         """Half-closes every client without open requests."""
         for client in list(self.clients):
             client.close_if_idle(reason)
@@ -109,7 +112,7 @@
             used_before = self._clock.now() - IDLE_TIMEOUT
             for client in list(self.clients):
                 if client.is_idle() and client.last_used <= used_before:
-                    client.close_if_idle("idle for long")
+                    client.close_if_idle(CloseReason.IDLE_TIMEOUT)
 
     async def run_timeout_checks(self) -> None:
         """Checks the time limits of what clients are sending."""
@@ -191,7 +194,7 @@
         candidates = self._silent_clients(now) or self._idle_clients(now)
         batch_size = round(self.max_clients * EVICTION_BATCH)
         for client in heapq.nsmallest(batch_size, candidates, key=lambda client: client.last_used):
-            client.close_if_idle("room for others")
+            client.close_if_idle(CloseReason.EVICTED)
         return bool(candidates)
 
     def _silent_clients(self, now: float) -> list[ClientConnection]:
--- a/edge_router/server/graceful_shutdown.py
+++ b/edge_router/server/graceful_shutdown.py
@@ -13,6 +13,7 @@
 from edge_router.runtime.clock import Clock
 from edge_router.runtime.event_log import log
 from edge_router.server.client_acceptor import ClientAcceptor
+from edge_router.transport.close_reason import CloseReason
 
 ACCEPT_GRACE_PERIOD = 0.8  # seconds after SIGTERM during which new connections and requests are accepted
 KILL_DELAY = 0.7  # seconds between the longest deadline, counted from SIGTERM, and SIGKILL
@@ -94,7 +95,7 @@
 
     def _is_complete(self) -> bool:
         """Half-closes idle clients; returns whether no client and no unanswered request is left."""
-        self._acceptor.close_all_idle("stopping")
+        self._acceptor.close_all_idle(CloseReason.SHUTDOWN)
         return not self._acceptor.clients and all(request.answered for request in self._router.requests)
 
 
--- a/edge_router/transport/client_connection.py
+++ b/edge_router/transport/client_connection.py
@@ -14,6 +14,7 @@
 from edge_router.runtime.system_errors import is_local_shortage
 from edge_router.runtime.timers import STALL_MEMORY
 from edge_router.transport.client_session import GULP, ClientSession, RequestHandler
+from edge_router.transport.close_reason import CloseReason
 from edge_router.transport.receive_age import last_received_ago
 
 LINGER = 1.0, 1 << 20  # seconds and bytes for which a client that we leave may go on sending
@@ -71,24 +72,27 @@
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_WR)
 
-    async def run(self) -> str:
-        """Serves until either side ends it; returns why. No error of the peer's leaves here."""
-        why = "closed by us"
+    async def run(self) -> CloseReason | str:
+        """Serves until either side ends it; raises no network error.
+
+        Returns the reason, or the text of the error that ended it.
+        """
+        reason: CloseReason | str = CloseReason.CLOSED_LOCALLY
         with self._scope:
             try:
                 async with trio.open_nursery() as self._nursery:
                     with self._reading:
-                        why = await self._read()
+                        reason = await self._read()
                         self._writing.cancel()
-                    if self._leaving:
-                        why = self._leaving
+                    if self._close_reason:
+                        reason = self._close_reason
                         self._start_writing()
             finally:
                 self._wrote = True  # it is too late to start it
                 self.on_closed()
-            if self._leaving or not self._decoder.keep:
+            if self._close_reason or not self._decoder.keep:
                 await self._linger()
-        return "the client takes in nothing" if self._broken else why
+        return CloseReason.WRITE_TIMEOUT if self._broken else reason
 
     async def _linger(self) -> None:
         """Guards against an answer lost to a reset, as when a socket is closed with bytes unread."""
@@ -102,7 +106,7 @@
                     break
                 left -= count
 
-    async def _read(self) -> str:
+    async def _read(self) -> CloseReason | str:
         left = LINGER[1]
         while True:
             try:
@@ -113,15 +117,15 @@
                 if count is None:
                     continue
                 if not count:
-                    return "closed by the client"
-                if self._leaving:
+                    return CloseReason.CLIENT_CLOSED
+                if self._close_reason:
                     await trio.lowlevel.checkpoint()
                     left -= count
                     if left <= 0:
-                        return self._leaving
+                        return self._close_reason
             except (BufferFullError, FastCgiError) as error:
-                self._leaving = self._leaving or str(error)
-                return self._leaving
+                self._close_reason = self._close_reason or str(error)
+                return self._close_reason
             except OSError as error:
                 return str(error) or type(error).__name__
 
@@ -167,7 +171,7 @@
                     self._left()
                     return
         except (BufferFullError, FastCgiError) as error:
-            self._leave(str(error))
+            self._start_closing(str(error))
         except OSError:
             self._left()
 
--- a/edge_router/transport/client_session.py
+++ b/edge_router/transport/client_session.py
@@ -23,6 +23,7 @@
 )
 from edge_router.runtime.memory_budget import MemoryBudget
 from edge_router.runtime.system_errors import is_local_shortage
+from edge_router.transport.close_reason import CloseReason
 from edge_router.transport.upstream_channel import Socket
 
 MOST_UNREAD = 2 * (65_536 + 256 + 8)
@@ -62,8 +63,8 @@
         self._budget = budget
         self._decoder = Decoder(budget, clock)
         self._buffer = ReceiveBuffer(MOST_UNREAD)
-        self._leaving = ""  # why the connection ends once all that is open on it is answered
-        self._partial_since = clock()  # when a record began to come in that is not whole; 0: there is none
+        self._close_reason: CloseReason | str | None = None  # set once it takes no more requests
+        self._partial_since: float | None = clock()  # when the record began that is not complete
         self.silent = True  # not a byte has come so far
         self.time_unread = 0.0  # ms for which the request that is being handed on may have waited unread
         self._unread_most = 0.0  # the same for all that came with the last bytes,
@@ -98,7 +99,7 @@
         now = self.last_used = self._clock()
         held = len(self._buffer)
         for event in self._decoder.events(self._buffer):
-            if isinstance(event, Arrived) and self._leaving:
+            if isinstance(event, Arrived) and self._close_reason:
                 self._turn_away(event.ident)
             elif isinstance(event, Arrived):
                 self._request(event)
@@ -107,11 +108,11 @@
             else:
                 self._owe(event.data)
         if not len(self._buffer):
-            self._partial_since = 0.0
-        elif len(self._buffer) < held or not self._partial_since:
+            self._partial_since = None
+        elif len(self._buffer) < held or self._partial_since is None:
             self._partial_since = now
         if self._decoder.turned_away > MOST_TURNED_AWAY:
-            self._leave("turned away too often")
+            self._start_closing(CloseReason.TOO_MANY_REJECTED)
 
     def on_writable(self) -> None:
         """The socket takes more again."""
@@ -138,7 +139,7 @@
 
     def is_idle(self) -> bool:
         """Whether it is quiet and nothing is coming in either."""
-        return self.is_quiet() and not self._decoder.coming() and not self._partial_since
+        return self.is_quiet() and not self._decoder.coming() and self._partial_since is None
 
     def check_timeouts(self, now: float) -> None:
         """Ends what has been coming in for too long.
@@ -146,31 +147,33 @@
         Guards against clients that connect and say nothing, or begin and never end.
         """
         if (
-            self._partial_since
+            self._partial_since is not None
             and self._partial_since < now - TAKE_IN
             and not (self.silent and self._unread())
         ):
-            self._leave("says nothing" if self.silent else "a record is not whole in time")
+            self._start_closing(
+                CloseReason.NOTHING_RECEIVED if self.silent else CloseReason.INCOMPLETE_RECORD
+            )
         for event in self._decoder.overdue(now - TAKE_IN):
             self._handler.on_request(self, *event)
 
-    def _leave(self, why: str) -> None:
+    def _start_closing(self, reason: CloseReason | str) -> None:
         """Takes no more requests, and ends the connection once all that is open on it is answered.
 
         Until then it is read: a client that closes, or aborts what is open, wants no further attempts.
         """
-        if not self._leaving:
-            self._leaving, self.last_used = why, self._clock()
+        if not self._close_reason:
+            self._close_reason, self.last_used = reason, self._clock()
         self._pump()
 
     def is_closing(self) -> bool:
         """Whether the connection is being ended."""
-        return bool(self._leaving)
+        return bool(self._close_reason)
 
-    def close_if_idle(self, why: str) -> None:
+    def close_if_idle(self, reason: CloseReason) -> None:
         """Ends a connection that rests, unless a request is there already that has not been read."""
-        if not self._leaving and (self.is_idle() or self.silent) and not self._unread():
-            self._leave(why)
+        if not self._close_reason and (self.is_idle() or self.silent) and not self._unread():
+            self._start_closing(reason)
 
     def poll_input(self) -> None:
         """Takes in what has come meanwhile, also the client's leaving: the last look before an attempt."""
@@ -241,7 +244,9 @@
         """Writes until the socket takes no more; once all is written and no more is owed, ends the rest."""
         while not self._full:
             if not self._rest and not (data := self._gulp()):
-                left = self._decoder.taken() if self._leaving else self._decoder.keep or self._decoder.open
+                left = (
+                    self._decoder.taken() if self._close_reason else self._decoder.keep or self._decoder.open
+                )
                 if not left:
                     self._stop_writing()
                     self._stop_reading()
--- a/edge_router/transport/upstream_channel.py
+++ b/edge_router/transport/upstream_channel.py
@@ -14,6 +14,7 @@
 from edge_router.protocol.buffer import ReceiveBuffer
 from edge_router.protocol.resp import MOST_BULK, Decoder
 from edge_router.runtime.system_errors import is_local_shortage
+from edge_router.transport.close_reason import CloseReason
 
 
 class Socket(Protocol):
@@ -60,15 +61,13 @@
         self._rest = b""  # of the command under way
         self._pumping = False
         self._full = False  # the socket takes no more
-        self._why = "closed by us"
+        self._close_reason: CloseReason | str = CloseReason.CLOSED_LOCALLY
         self.buffer = ReceiveBuffer(MOST_BULK + 4096)
         self.decoder = Decoder()
         self.local_shortage = False  # there was no descriptor for it
         self.connected = False  # somebody was there: it came up or was reset, whatever became of it
         self.closed = False
-        self.partial_since = (
-            0.0  # when the last byte of an answer that is not whole came in; 0: none has begun
-        )
+        self.partial_since: float | None = None  # when the last byte of an incomplete response came in
 
     # -- for those who use it --
 
@@ -103,7 +102,7 @@
         """More bytes are in the buffer; raises RespError if they can't be read."""
         for array in self.decoder.arrays(self.buffer):
             self._owner.on_message(self, array)
-        self.partial_since = self._clock() if self.decoder.midway() or len(self.buffer) else 0.0
+        self.partial_since = self._clock() if self.decoder.midway() or len(self.buffer) else None
 
     def on_writable(self) -> None:
         """The socket takes more again."""
@@ -112,16 +111,16 @@
 
     def on_connect_failed(self, error: OSError) -> None:
         """Connecting or setting up failed. A reset shows that somebody is there."""
-        self._why = str(error) or type(error).__name__
+        self._close_reason = str(error) or type(error).__name__
         self.connected = self.connected or isinstance(error, ConnectionResetError)
 
-    def on_closed(self, why: str = "") -> None:
+    def on_closed(self, reason: CloseReason | str | None = None) -> None:
         """It is over; to be called once, as the last.
 
         Guards against a connection that is over and still held by a cycle with its owner, buffer and all.
         """
         self.closed = True
-        self._owner.on_channel_closed(self, why or self._why)
+        self._owner.on_channel_closed(self, reason or self._close_reason)
         del self._owner
 
     # -- writing --
@@ -150,7 +149,7 @@
         except OSError as error:
             ended = not is_local_shortage(error)
         if ended:
-            self._why = "closed by the server"
+            self._close_reason = CloseReason.SERVER_CLOSED
             self.close()
         return ended
 
@@ -170,7 +169,7 @@
             pass
         except OSError as error:
             if not is_local_shortage(error):  # else it is written once there is room again
-                self._why = str(error)
+                self._close_reason = str(error)
                 self.close()
         if sent or command is None:
             self._rest = self._rest[sent:]
--- a/edge_router/transport/upstream_connection.py
+++ b/edge_router/transport/upstream_connection.py
@@ -10,6 +10,7 @@
 from edge_router.protocol.buffer import BufferFullError
 from edge_router.protocol.resp import RespError
 from edge_router.runtime.system_errors import is_local_shortage
+from edge_router.transport.close_reason import CloseReason
 from edge_router.transport.upstream_channel import ChannelOwner, UpstreamChannel
 
 PAUSE = 0.01  # seconds between two tries where our own system lacked something
@@ -37,16 +38,16 @@
 
     async def run(self) -> None:
         """Connects, then reads and writes until either side ends it. No error leaves here."""
-        why = ""
+        reason: CloseReason | str | None = None
         try:
             with self._scope:
-                why = await self._live_patiently()
+                reason = await self._live_patiently()
         except OSError as error:
             self.on_connect_failed(error)
         finally:
-            self.on_closed(why)
+            self.on_closed(reason)
 
-    async def _live_patiently(self) -> str:
+    async def _live_patiently(self) -> CloseReason | str:
         """Connects, once more where our own system lacks something for a moment; returns why it ended.
 
         Guards against blaming the server for that, and against attempts that all fail in the same moment.
@@ -64,20 +65,20 @@
             await trio.sleep(PAUSE)
             self.local_shortage = False
 
-    async def _live(self, sock: trio.socket.SocketType, end: float) -> str:
+    async def _live(self, sock: trio.socket.SocketType, end: float) -> CloseReason | str:
         sock.setsockopt(trio.socket.IPPROTO_TCP, trio.socket.TCP_NODELAY, 1)
         with trio.move_on_at(end) as waiting:
             await sock.connect(self._address)
         if waiting.cancelled_caught:
-            return "not up in time"
+            return CloseReason.CONNECT_TIMEOUT
         self.on_connected(self._sock)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._write)
-            why = await self._read()
+            reason = await self._read()
             nursery.cancel_scope.cancel()
-        return why
+        return reason
 
-    async def _read(self) -> str:
+    async def _read(self) -> CloseReason | str:
         buffer, decoder = self.buffer, self.decoder
         try:
             while True:
@@ -92,7 +93,7 @@
                             continue
                         raise
                 if not count:
-                    return "closed by the server"
+                    return CloseReason.SERVER_CLOSED
                 buffer.commit(count)
                 self.on_received()
         except (OSError, RespError, BufferFullError) as error:
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -30,6 +30,7 @@
 from edge_router.runtime.memory_budget import MemoryBudget
 from edge_router.transport.client_connection import ClientConnection
 from edge_router.transport.client_session import MOST_TURNED_AWAY, ClientSession
+from edge_router.transport.close_reason import CloseReason
 
 TIME_WAIT = "06"
 
@@ -146,12 +147,12 @@
                 theirs.sendall(
                     FastCgiClient.encode_request(FastCgiClient.__new__(FastCgiClient), path="/status/live")
                 )
-                connection.close_if_idle("room for others")
+                connection.close_if_idle(CloseReason.EVICTED)
                 assert not connection.is_closing()
                 with trio.fail_after(TEST_TIMEOUT):
                     await handler.came.wait()
                 assert b"200 OK" in theirs.recv(1000)
-                connection.close_if_idle("room for others")
+                connection.close_if_idle(CloseReason.EVICTED)
                 theirs.sendall(
                     FastCgiClient.encode_request(FastCgiClient.__new__(FastCgiClient), path="/status/live")
                 )
