--- a/edge_router/model_checker/channels.py
+++ b/edge_router/model_checker/channels.py
@@ -96,9 +96,9 @@
         """The channel has decoded an array."""
         self.arrivals += 1
 
-    def on_channel_closed(self, connection: UpstreamChannel, why: str) -> None:
+    def on_channel_closed(self, connection: UpstreamChannel, reason: str) -> None:
         """The channel reports its end."""
-        self.ends.append(why)
+        self.ends.append(reason)
         if len(self.ends) > 1:
             self.record_violation("told-once", f"notified {len(self.ends)} times of the end")
 
@@ -122,7 +122,7 @@
                 steps += ["answer", "half"]
         if (self.sock.ended or self.sock.dead) and not self.channel.closed:
             steps.append("ended")
-        if self.channel._full and (self.sock.room or self.sock.dead) and not self.channel.closed:
+        if self.channel._write_blocked and (self.sock.room or self.sock.dead) and not self.channel.closed:
             steps.append("writable")
         return steps
 
@@ -205,8 +205,8 @@
                 self.half,
                 channel.connected,
                 channel.closed,
-                channel._full,
-                bytes(channel._rest),
+                channel._write_blocked,
+                bytes(channel._partial_write),
                 len(channel._queue),
                 channel.partial_since or 0.0,
                 len(channel.buffer),
--- a/edge_router/model_checker/fingerprint/transport.py
+++ b/edge_router/model_checker/fingerprint/transport.py
@@ -29,7 +29,7 @@
         },
     ),
     UpstreamChannel: Fields(
-        "_queue _rest _full buffer decoder local_shortage connected closed partial_since",
+        "_queue _partial_write _write_blocked buffer decoder local_shortage connected closed partial_since",
         {
             "_owner": WIRING,
             "_clock": WIRING,
@@ -40,8 +40,8 @@
     ),
     Decoder: Fields("_items _left _bulk", {}),
     ClientSession: Fields(
-        "_decoder _buffer _close_reason _partial_since silent _urgent _answers _unsent "
-        "_rest _full _broken closing finished",
+        "_decoder _buffer _close_reason _partial_since silent _control_records _responses _unsent_bytes "
+        "_partial_write _write_blocked _client_stalled closing finished",
         {
             "_sock": WIRING,
             "sock": "encoded by its fields",
@@ -50,8 +50,8 @@
             "_budget": WIRING,
             "last_used": "read by the check of idle clients, which is not played here",
             "time_unread": "bytes are read as soon as they arrive here",
-            "_unread_most": "bytes are read as soon as they arrive here",
-            "_unread_last": "bytes are read as soon as they arrive here",
+            "_max_unread_time": "bytes are read as soon as they arrive here",
+            "_last_unread_time": "bytes are read as soon as they arrive here",
         },
     ),
     fastcgi.Decoder: Fields("_taking open turned_away keep", {"_budget": WIRING, "_clock": WIRING}),
@@ -63,8 +63,8 @@
     buffer, decoder = channel.buffer, channel.decoder
     return (
         tuple(encode_command(command, frame) for command in channel._queue),
-        channel._rest,
-        channel._full,
+        channel._partial_write,
+        channel._write_blocked,
         bytes(buffer._data[buffer._start : buffer._end]),
         tuple(decoder._items),
         decoder._left,
@@ -88,12 +88,12 @@
         str(session._close_reason or ""),
         frame.time(session._partial_since or 0.0),
         session.silent,
-        tuple(session._urgent),
-        tuple((ident, tuple(records)) for ident, records in session._answers),
-        session._unsent,
-        bytes(session._rest),
-        session._full,
-        session._broken,
+        tuple(session._control_records),
+        tuple((request_id, tuple(records)) for request_id, records in session._responses),
+        session._unsent_bytes,
+        bytes(session._partial_write),
+        session._write_blocked,
+        session._client_stalled,
     )
 
 
--- a/edge_router/model_checker/model/caches.py
+++ b/edge_router/model_checker/model/caches.py
@@ -67,7 +67,7 @@
         """The connection accepts bytes again."""
         channel = self._harness.channel(name)
         channel.sock.writable_bytes = None
-        if channel._full:
+        if channel._write_blocked:
             channel.on_writable()
 
     def reset(self, name: str) -> None:
@@ -227,7 +227,7 @@
             if not channel.closed and not harness.router.endpoints.contains(channel.connection.endpoint_id):
                 harness.record_violation("gone-closed", f"{name} stays open")
             if channel.connected and not (
-                channel.closed or channel.sock.end or channel._full or channel._queue
+                channel.closed or channel.sock.end or channel._write_blocked or channel._queue
             ):
                 for request_id in channel.pending_ids:
                     if (
--- a/edge_router/model_checker/model/settling.py
+++ b/edge_router/model_checker/model/settling.py
@@ -19,7 +19,7 @@
     router, policy, session = state.harness.router, state.harness.router._policy, state.clients.session
     loads = [*policy.loads.by_endpoint.values(), policy.loads.zone_link]
     session_ids = 0 if session.finished else len(session._decoder.open)
-    unsent_answers = 0 if session.finished else len(session._answers) + session._unsent
+    unsent_answers = 0 if session.finished else len(session._responses) + session._unsent_bytes
     attempts_out = sum(abs(load.in_flight) for load in loads)
     work_out = round(sum(abs(load.in_flight_work) for load in loads), 6)
     return {
--- a/edge_router/model_checker/peers.py
+++ b/edge_router/model_checker/peers.py
@@ -197,7 +197,7 @@
         self.closing = True
 
     def _stop_reading(self) -> None:
-        if not self._full:
+        if not self._write_blocked:
             self.closing = True
 
     def stalled(self) -> bool:
@@ -207,7 +207,7 @@
     def unstall(self) -> None:
         """The client accepts bytes again."""
         self.sock.writable_bytes = None
-        if self._full:
+        if self._write_blocked:
             self.on_writable()
 
     def feed(self, data: bytes) -> None:
--- a/edge_router/model_checker/reach.py
+++ b/edge_router/model_checker/reach.py
@@ -155,7 +155,7 @@
     ),
     (
         "transport/client_session.py",
-        "_request|_pump",
+        "_dispatch_request|_pump",
         "bad requests, and clients that are gone: tests/test_router.py",
     ),
     (
@@ -170,7 +170,7 @@
     ),
     (
         "transport/client_session.py",
-        "check_timeouts|is_idle|is_quiet|_start_closing|on_received|_owe",
+        "check_timeouts|is_idle|is_quiet|_start_closing|on_received|_send_control_record",
         "slow and bad clients: tests/test_router.py",
     ),
     ("proxy/fastcgi_frontend.py", "", "bad requests and /status/live: tests/test_router.py"),
--- a/edge_router/proxy/upstream_connections.py
+++ b/edge_router/proxy/upstream_connections.py
@@ -44,9 +44,9 @@
         """Pass a response on to the owner."""
         self._owner.on_response(self, array)
 
-    def on_channel_closed(self, connection: UpstreamChannel, why: str) -> None:  # noqa: ARG002
+    def on_channel_closed(self, connection: UpstreamChannel, reason: str) -> None:  # noqa: ARG002
         """Tell the owner that the connection has ended."""
-        self._owner.on_connection_lost(self, why)
+        self._owner.on_connection_lost(self, reason)
 
     def accepts(self, request_id: str, now: float, max_streams: int, max_silence: float) -> bool:
         """Return whether one more attempt may go on this connection.
--- a/edge_router/transport/client_connection.py
+++ b/edge_router/transport/client_connection.py
@@ -1,4 +1,4 @@
-"""A client connection over trio: the I/O of a `Session`."""
+"""A client connection over trio: the I/O of a `ClientSession`."""
 
 from __future__ import annotations
 
@@ -13,21 +13,22 @@
 from edge_router.runtime.memory_budget import MemoryBudget
 from edge_router.runtime.system_errors import is_local_shortage
 from edge_router.runtime.timers import STALL_MEMORY
-from edge_router.transport.client_session import GULP, ClientSession, RequestHandler
+from edge_router.transport.client_session import WRITE_SIZE, ClientSession, RequestHandler
 from edge_router.transport.close_reason import CloseReason
 from edge_router.transport.receive_age import last_received_ago
 
-LINGER = 1.0, 1 << 20  # seconds and bytes for which a client that we leave may go on sending
-STALL = 10.0  # seconds for which a client may take in nothing
+LINGER_TIMEOUT = 1.0  # seconds for which a closing connection reads and discards input
+MAX_LINGER_BYTES = 1 << 20  # bytes that a client may still send while its connection is closing
+WRITE_TIMEOUT = 10.0  # seconds for which a client may read nothing while responses wait
 
 
-def never() -> float:
-    """The process never stood still."""
+def no_stall() -> float:
+    """The default for `stall_duration`: the process never stalled."""
     return 0.0
 
 
 class ClientConnection(ClientSession):
-    """A session on a plain non-blocking socket."""
+    """A client session on a non-blocking socket; a task writes what could not be written at once."""
 
     def __init__(
         self,
@@ -35,39 +36,40 @@
         handler: RequestHandler,
         clock: Callable[[], float],
         budget: MemoryBudget,
-        stood_still_for: Callable[[], float] = never,
-        waited: float = 0.0,
+        stall_duration: Callable[[], float] = no_stall,
+        accept_delay: float = 0.0,
     ) -> None:
-        """`stood_still_for` tells for how many milliseconds input may have waited, as the process lagged;
+        """Wraps an accepted socket.
 
-        `waited`, for how many the connection waited to be accepted.
+        `stall_duration` returns for how many milliseconds input may have waited because the process stalled;
+        `accept_delay` is the time in milliseconds that the connection waited to be accepted.
         """
         super().__init__(sock, handler, clock, budget)
         self._sock: socket.socket = sock
-        self._stood_still_for = stood_still_for
-        self._waited = waited
+        self._stall_duration = stall_duration
+        self._accept_delay = accept_delay
         self._accepted_at = clock()
         self._receiving = False
-        self._room_wanted = trio.Event()
+        self._write_wanted = trio.Event()
         self._scope = trio.CancelScope()
         self._reading = trio.CancelScope()
         self._writing = trio.CancelScope()
-        self._wrote = False  # whether the task that writes was started
+        self._writer_started = False  # the writing task is started once, on the first blocked write
         self._nursery: trio.Nursery
 
     def close(self) -> None:
-        """Ends the connection."""
+        """Closes the connection at once; `run` returns."""
         self._scope.cancel()
 
-    def _blocked(self) -> None:
-        self._room_wanted.set()
+    def _on_write_blocked(self) -> None:
+        self._write_wanted.set()
         self._start_writing()
 
     def _stop_reading(self) -> None:
         self._reading.cancel()
 
     def _stop_writing(self) -> None:
-        """Half-closes at once: what the client sends from now on, it knows not to be taken."""
+        """Half-closes at once, so that the client knows that what it sends from now on is not processed."""
         self._writing.cancel()
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_WR)
@@ -88,31 +90,31 @@
                         reason = self._close_reason
                         self._start_writing()
             finally:
-                self._wrote = True  # it is too late to start it
+                self._writer_started = True  # no writing task can be started any more
                 self.on_closed()
             if self._close_reason or not self._decoder.keep:
                 await self._linger()
-        return CloseReason.WRITE_TIMEOUT if self._broken else reason
+        return CloseReason.WRITE_TIMEOUT if self._client_stalled else reason
 
     async def _linger(self) -> None:
-        """Guards against an answer lost to a reset, as when a socket is closed with bytes unread."""
-        scratch, left = bytearray(GULP), LINGER[1]
+        """Reads and discards input, because closing with unread bytes resets the socket, losing responses."""
+        discarded, remaining = bytearray(WRITE_SIZE), MAX_LINGER_BYTES
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_WR)
-        with trio.move_on_after(LINGER[0]), contextlib.suppress(OSError):
-            while left > 0:
+        with trio.move_on_after(LINGER_TIMEOUT), contextlib.suppress(OSError):
+            while remaining > 0:
                 await trio.lowlevel.wait_readable(self._sock)
-                if not (count := self._sock.recv_into(scratch)):
+                if not (count := self._sock.recv_into(discarded)):
                     break
-                left -= count
+                remaining -= count
 
     async def _read(self) -> CloseReason | str:
-        left = LINGER[1]
+        remaining = MAX_LINGER_BYTES
         while True:
             try:
                 await trio.lowlevel.wait_readable(self._sock)
                 if self._reading.cancel_called:
-                    continue  # what came behind the half-close is not taken
+                    continue  # input after the half-close is not processed
                 count = self._receive()
                 if count is None:
                     continue
@@ -120,8 +122,8 @@
                     return CloseReason.CLIENT_CLOSED
                 if self._close_reason:
                     await trio.lowlevel.checkpoint()
-                    left -= count
-                    if left <= 0:
+                    remaining -= count
+                    if remaining <= 0:
                         return self._close_reason
             except (BufferFullError, FastCgiError) as error:
                 self._close_reason = self._close_reason or str(error)
@@ -130,9 +132,12 @@
                 return str(error) or type(error).__name__
 
     def _receive(self) -> int | None:
-        """Reads once and works off what came; its count, 0 at the end, None if there is nothing now."""
+        """Reads once and processes the input.
+
+        Returns the number of bytes, 0 at the end of the stream, None if there is no input now.
+        """
         with self._buffer.writable_view() as view:
-            room = len(view)
+            capacity = len(view)
             try:
                 count = self._sock.recv_into(view)
             except BlockingIOError:
@@ -143,7 +148,7 @@
                 raise
         if count:
             self._buffer.commit(count)
-            self._note_unread(count == room)
+            self._record_unread_time(count == capacity)
             self._receiving = True
             try:
                 self.on_received()
@@ -151,47 +156,47 @@
                 self._receiving = False
         return count
 
-    def _note_unread(self, more: bool) -> None:
-        """Notes how long what was just read may have waited; `more`: there may be more to read."""
+    def _record_unread_time(self, more: bool) -> None:
+        """Records how long the last input may have waited to be read; `more`: there may be more to read."""
         received_ago = last_received_ago(self._sock)
-        most = max(received_ago or 0.0, self._stood_still_for())
+        max_age = max(received_ago or 0.0, self._stall_duration())
         since_accepted = self._clock() - self._accepted_at
         if self.silent and since_accepted < STALL_MEMORY * 1000.0:
-            most = max(most, self._waited + since_accepted)
-        self._unread_most = most
-        self._unread_last = most if more or received_ago is None else received_ago
+            max_age = max(max_age, self._accept_delay + since_accepted)
+        self._max_unread_time = max_age
+        self._last_unread_time = max_age if more or received_ago is None else received_ago
 
     def poll_input(self) -> None:
-        """Reads what is there. The task that reads finds the end and what can't be read by itself."""
+        """Reads the available input; the reading task sees the end of the stream and errors by itself."""
         if self._receiving or self._reading.cancel_called:
             return
         try:
             while (count := self._receive()) is not None:
                 if not count:
-                    self._left()
+                    self._notify_disconnected()
                     return
         except (BufferFullError, FastCgiError) as error:
             self._start_closing(str(error))
         except OSError:
-            self._left()
+            self._notify_disconnected()
 
     def _start_writing(self) -> None:
-        """Most clients need no task that writes: they take all at once."""
-        if not self._wrote:
-            self._wrote = True
+        """Starts the writing task on the first blocked write; most connections never need one."""
+        if not self._writer_started:
+            self._writer_started = True
             self._nursery.start_soon(self._write)
 
     async def _write(self) -> None:
-        """Writes what the socket did not take at once, until all is over."""
+        """Continues blocked writes until the connection ends or the client stalls for `WRITE_TIMEOUT`."""
         with self._writing:
             while True:
-                await self._room_wanted.wait()
-                # Guards against a client that reads nothing and so holds answers in memory for good.
-                with trio.move_on_after(STALL) as waiting:
+                await self._write_wanted.wait()
+                # Limited because a client that reads nothing would keep responses in memory indefinitely.
+                with trio.move_on_after(WRITE_TIMEOUT) as write_timeout:
                     await trio.lowlevel.wait_writable(self._sock)
-                if waiting.cancelled_caught:
-                    self._broken = True
+                if write_timeout.cancelled_caught:
+                    self._client_stalled = True
                     break
-                self._room_wanted = trio.Event()
+                self._write_wanted = trio.Event()
                 self.on_writable()
         self._reading.cancel()
--- a/edge_router/transport/client_session.py
+++ b/edge_router/transport/client_session.py
@@ -1,7 +1,7 @@
-"""The life of one client connection, without its I/O: requests in, answers out by turns.
+"""The state machine of one client connection, without I/O: requests in, responses out in turns.
 
-Whoever does the I/O makes a `Session`, tells it what happens (`received`, `writable`, `ended`) and does
-what `_blocked`, `_stop_reading`, `_stop_writing` and `close` ask for. `wire/client.py` does so with trio.
+A subclass does the I/O: it reports events (`on_received`, `on_writable`, `on_closed`) and implements
+`_on_write_blocked`, `_stop_reading`, `_stop_writing` and `close`. `ClientConnection` does so with trio.
 """
 
 from __future__ import annotations
@@ -26,33 +26,33 @@
 from edge_router.transport.close_reason import CloseReason
 from edge_router.transport.upstream_channel import Socket
 
-MOST_UNREAD = 2 * (65_536 + 256 + 8)
-MOST_OWED = 1000  # protocol records that wait to be written
-MOST_TURNED_AWAY = 20  # requests in a row that can't be taken, after which a connection is ended
-TAKE_IN = 2000.0  # ms within which what has begun to come in is whole; a bad client is owed an end within 3 s
-GULP = 65_536  # bytes handed to the socket at once
+MAX_BUFFERED_BYTES = 2 * (65_536 + 256 + 8)  # two FastCGI records of the largest size
+MAX_CONTROL_RECORDS = 1000  # management and end records that wait to be written
+MAX_CONSECUTIVE_REJECTIONS = 20  # requests; one more closes the connection
+RECEIVE_TIMEOUT = 2000.0  # ms to complete a record or request; a bad client has to be answered within 3 s
+WRITE_SIZE = 65_536  # bytes passed to one send(2), about
 
 
 class RequestHandler(Protocol):
-    """Who takes the requests of all connections."""
+    """Receives the requests of all client connections."""
 
     def on_request(
-        self, connection: ClientSession, ident: int, params: dict[str, str], body: bytes, bad: str
+        self, connection: ClientSession, request_id: int, params: dict[str, str], body: bytes, bad: str
     ) -> bool:
-        """A request has come in, or is ended for what is bad with it; exactly one answer or an end is owed.
+        """A request is complete, or `bad` says what is wrong with it; needs one response or end record.
 
-        Says whether it was one that can be taken.
+        Returns whether the request was acceptable.
         """
 
-    def on_aborted(self, connection: ClientSession, ident: int) -> None:
-        """The client has left this request."""
+    def on_aborted(self, connection: ClientSession, request_id: int) -> None:
+        """The client aborted this request."""
 
-    def on_disconnected(self, connection: ClientSession, ident: int) -> None:
-        """The client sends no more: it has closed the connection, or its half of it."""
+    def on_disconnected(self, connection: ClientSession, request_id: int) -> None:
+        """The client closed the connection, or its half of it, while this request was open."""
 
 
 class ClientSession:
-    """One client connection: requests in, answers out by turns, record by record."""
+    """One client connection: decodes requests, and interleaves the records of responses."""
 
     def __init__(
         self, sock: Socket, handler: RequestHandler, clock: Callable[[], float], budget: MemoryBudget
@@ -62,198 +62,201 @@
         self._clock = clock
         self._budget = budget
         self._decoder = Decoder(budget, clock)
-        self._buffer = ReceiveBuffer(MOST_UNREAD)
+        self._buffer = ReceiveBuffer(MAX_BUFFERED_BYTES)
         self._close_reason: CloseReason | str | None = None  # set once it takes no more requests
         self._partial_since: float | None = clock()  # when the record began that is not complete
-        self.silent = True  # not a byte has come so far
-        self.time_unread = 0.0  # ms for which the request that is being handed on may have waited unread
-        self._unread_most = 0.0  # the same for all that came with the last bytes,
-        self._unread_last = 0.0  # and for the last of it
-        self._urgent: deque[bytes] = deque()
-        self._answers: deque[tuple[int, deque[bytes]]] = deque()
-        self._unsent = 0  # bytes of answers that wait to be written
-        self._rest = memoryview(b"")  # of what was begun to be written
-        self._full = False  # the socket takes no more
-        self._broken = False
+        self.silent = True  # no byte was received so far
+        self.time_unread = 0.0  # ms for which the request being handled may have waited to be read
+        self._max_unread_time = 0.0  # ms, of any input of the last read
+        self._last_unread_time = 0.0  # ms, of the end of that input
+        self._control_records: deque[bytes] = deque()
+        self._responses: deque[tuple[int, deque[bytes]]] = deque()
+        self._unsent_bytes = 0  # bytes of `_responses`, reserved in the memory budget
+        self._partial_write = memoryview(b"")  # the rest of the last write
+        self._write_blocked = False  # until `on_writable`
+        self._client_stalled = False  # it does not read its responses
         self.last_used = clock()
 
-    # -- what whoever does the I/O carries out --
+    # -- implemented by the subclass that does the I/O --
 
     def close(self) -> None:
-        """The connection is to be ended."""
+        """Closes the connection at once."""
 
-    def _blocked(self) -> None:
-        """The socket takes no more: `writable` is to be called once it does."""
+    def _on_write_blocked(self) -> None:
+        """The socket buffer is full: `on_writable` is to be called once it has space."""
 
     def _stop_reading(self) -> None:
-        """Nothing more is to be taken in."""
+        """Stops reading."""
 
     def _stop_writing(self) -> None:
-        """Nothing more is to be written."""
+        """Stops writing."""
 
-    # -- what whoever does the I/O tells --
+    # -- called by the subclass that does the I/O --
 
     def on_received(self) -> None:
-        """More bytes are in the buffer; raises FastCgiError if they can't be read."""
+        """Processes new bytes in the buffer; raises FastCgiError if they are malformed."""
         self.silent = False
         now = self.last_used = self._clock()
-        held = len(self._buffer)
+        buffered_before = len(self._buffer)
         for event in self._decoder.events(self._buffer):
             if isinstance(event, Arrived) and self._close_reason:
-                self._turn_away(event.ident)
+                self._reject(event.ident)
             elif isinstance(event, Arrived):
-                self._request(event)
+                self._dispatch_request(event)
             elif isinstance(event, Aborted):
                 self._handler.on_aborted(self, event.ident)
             else:
-                self._owe(event.data)
+                self._send_control_record(event.data)
         if not len(self._buffer):
             self._partial_since = None
-        elif len(self._buffer) < held or self._partial_since is None:
+        elif len(self._buffer) < buffered_before or self._partial_since is None:
             self._partial_since = now
-        if self._decoder.turned_away > MOST_TURNED_AWAY:
+        if self._decoder.turned_away > MAX_CONSECUTIVE_REJECTIONS:
             self._start_closing(CloseReason.TOO_MANY_REJECTED)
 
     def on_writable(self) -> None:
-        """The socket takes more again."""
-        self._full = False
+        """Continues writing, as the socket buffer has space again."""
+        self._write_blocked = False
         self._pump()
 
     def on_closed(self) -> None:
-        """The connection is over; to be called once, as the last."""
+        """Releases everything; to be called exactly once, last."""
         self._decoder.close()
-        self._left()
-        self._budget.release(self._unsent)
-        self._unsent = 0
+        self._notify_disconnected()
+        self._budget.release(self._unsent_bytes)
+        self._unsent_bytes = 0
 
-    def _left(self) -> None:
-        """The client sends no more."""
-        for ident in sorted(self._decoder.open):
-            self._handler.on_disconnected(self, ident)
+    def _notify_disconnected(self) -> None:
+        """Reports the disconnection to the handler, for each open request."""
+        for request_id in sorted(self._decoder.open):
+            self._handler.on_disconnected(self, request_id)
 
-    # -- for those who use it --
+    # -- public interface --
 
     def is_quiet(self) -> bool:
-        """Whether no request that came in whole is open, and nothing waits to be written."""
-        return not (self._decoder.taken() or self._urgent or self._answers or self._rest)
+        """Whether no complete request is open, and nothing waits to be written."""
+        return not (self._decoder.taken() or self._control_records or self._responses or self._partial_write)
 
     def is_idle(self) -> bool:
-        """Whether it is quiet and nothing is coming in either."""
+        """Whether it is quiet and no incomplete request or record was received either."""
         return self.is_quiet() and not self._decoder.coming() and self._partial_since is None
 
     def check_timeouts(self, now: float) -> None:
-        """Ends what has been coming in for too long.
+        """Ends requests and connections that are incomplete for `RECEIVE_TIMEOUT`; `now` in milliseconds.
 
-        Guards against clients that connect and say nothing, or begin and never end.
+        Clients that connect and send nothing, or never complete a request, would keep their place otherwise.
         """
         if (
             self._partial_since is not None
-            and self._partial_since < now - TAKE_IN
-            and not (self.silent and self._unread())
+            and self._partial_since < now - RECEIVE_TIMEOUT
+            and not (self.silent and self._has_unread_input())
         ):
             self._start_closing(
                 CloseReason.NOTHING_RECEIVED if self.silent else CloseReason.INCOMPLETE_RECORD
             )
-        for event in self._decoder.overdue(now - TAKE_IN):
+        for event in self._decoder.overdue(now - RECEIVE_TIMEOUT):
             self._handler.on_request(self, *event)
 
     def _start_closing(self, reason: CloseReason | str) -> None:
-        """Takes no more requests, and ends the connection once all that is open on it is answered.
+        """Rejects new requests, and closes the connection once all open requests are answered.
 
-        Until then it is read: a client that closes, or aborts what is open, wants no further attempts.
+        It is read until then, because requests that the client aborts need no further attempts.
         """
         if not self._close_reason:
             self._close_reason, self.last_used = reason, self._clock()
         self._pump()
 
     def is_closing(self) -> bool:
-        """Whether the connection is being ended."""
+        """Whether the connection is being closed and rejects new requests."""
         return bool(self._close_reason)
 
     def close_if_idle(self, reason: CloseReason) -> None:
-        """Ends a connection that rests, unless a request is there already that has not been read."""
-        if not self._close_reason and (self.is_idle() or self.silent) and not self._unread():
+        """Closes an idle connection, unless input has arrived that was not read yet."""
+        if not self._close_reason and (self.is_idle() or self.silent) and not self._has_unread_input():
             self._start_closing(reason)
 
     def poll_input(self) -> None:
-        """Takes in what has come meanwhile, also the client's leaving: the last look before an attempt."""
+        """Processes input that has arrived, such as an abort; called right before an attempt is sent."""
 
-    def _unread(self) -> bool:
-        """Whether bytes wait to be read."""
+    def _has_unread_input(self) -> bool:
+        """Whether the socket has input that was not read yet."""
         try:
             return bool(self._sock.recv(1, socket.MSG_PEEK))
         except OSError:
             return False
 
-    def _turn_away(self, ident: int) -> None:
-        """Refuses a request that comes while the connection is being ended."""
-        self._decoder.open.discard(ident)
-        self._owe(end_record(ident, OVERLOADED))
+    def _reject(self, request_id: int) -> None:
+        """Rejects a request that arrives while the connection is being closed."""
+        self._decoder.open.discard(request_id)
+        self._send_control_record(end_record(request_id, OVERLOADED))
 
-    def send_response(self, ident: int, head: bytes, body: bytes) -> None:
-        """Queues the whole answer to a request."""
-        records = answer_records(ident, head, body)
+    def send_response(self, request_id: int, head: bytes, body: bytes) -> None:
+        """Queues the complete response to a request."""
+        records = answer_records(request_id, head, body)
         size = sum(map(len, records))
-        self._unsent += size
+        self._unsent_bytes += size
         self._budget.reserve(size)
-        self._answers.append((ident, records))
+        self._responses.append((request_id, records))
         self._pump()
 
-    def end_request(self, ident: int, status: int) -> None:
-        """Ends a request without an answer."""
-        self._decoder.open.discard(ident)
-        self._owe(end_record(ident, status, 1 if status == COMPLETE else 0))
+    def end_request(self, request_id: int, status: int) -> None:
+        """Ends a request without a response."""
+        self._decoder.open.discard(request_id)
+        self._send_control_record(end_record(request_id, status, 1 if status == COMPLETE else 0))
 
-    def _owe(self, data: bytes) -> None:
-        """Guards against a client that asks on and on and reads nothing."""
-        if len(self._urgent) >= MOST_OWED:
-            self._broken = True
+    def _send_control_record(self, data: bytes) -> None:
+        """Queues a management or end record.
+
+        Closes the connection at `MAX_CONTROL_RECORDS`, because the client sends but does not read.
+        """
+        if len(self._control_records) >= MAX_CONTROL_RECORDS:
+            self._client_stalled = True
             self.close()
-        self._urgent.append(data)
+        self._control_records.append(data)
         self._pump()
 
-    def _request(self, event: Arrived) -> None:
-        """Hands a request on. Guards against one that is sent again whenever it is turned away."""
-        self.time_unread = self._unread_most if len(self._buffer) else self._unread_last
+    def _dispatch_request(self, event: Arrived) -> None:
+        """Passes a request to the handler, and counts rejections in a row, as some clients resend at once."""
+        self.time_unread = self._max_unread_time if len(self._buffer) else self._last_unread_time
         if self._handler.on_request(self, *event):
             self._decoder.turned_away = 0
         else:
             self._decoder.turned_away += 1
 
-    def _gulp(self) -> bytes:
-        """The next bytes to write: what the protocol owes first, then one record of each answer by turns."""
+    def _next_write(self) -> bytes:
+        """Returns the next bytes to write: control records, then one record of each response in turn."""
         parts: list[bytes] = []
         size = 0
-        while size < GULP and (self._urgent or self._answers):
-            if self._urgent:
-                part = self._urgent.popleft()
+        while size < WRITE_SIZE and (self._control_records or self._responses):
+            if self._control_records:
+                part = self._control_records.popleft()
             else:
-                ident, records = self._answers.popleft()
+                request_id, records = self._responses.popleft()
                 part = records.popleft()
-                self._unsent -= len(part)
+                self._unsent_bytes -= len(part)
                 self._budget.release(len(part))
                 if records:
-                    self._answers.append((ident, records))
+                    self._responses.append((request_id, records))
                 else:
-                    self._decoder.open.discard(ident)  # before the client sees the end and uses the id again
+                    self._decoder.open.discard(request_id)  # before the client can reuse the id
             parts.append(part)
             size += len(part)
         return b"".join(parts)
 
     def _pump(self) -> None:
-        """Writes until the socket takes no more; once all is written and no more is owed, ends the rest."""
-        while not self._full:
-            if not self._rest and not (data := self._gulp()):
-                left = (
+        """Writes until the socket buffer is full; stops reading and writing once nothing is left to do."""
+        while not self._write_blocked:
+            if not self._partial_write and not (data := self._next_write()):
+                keep_open = (
                     self._decoder.taken() if self._close_reason else self._decoder.keep or self._decoder.open
                 )
-                if not left:
+                if not keep_open:
                     self._stop_writing()
                     self._stop_reading()
                 return
-            self._rest = self._rest or memoryview(data)
+            self._partial_write = self._partial_write or memoryview(data)
             try:
-                sent = self._sock.send(self._rest)
+                sent = self._sock.send(self._partial_write)
             except BlockingIOError:
                 sent = 0
             except OSError as error:
@@ -262,7 +265,7 @@
                     return
                 sent = 0
             self.last_used = self._clock()
-            self._rest = self._rest[sent:]
-            if self._rest:
-                self._full = True
-                self._blocked()
+            self._partial_write = self._partial_write[sent:]
+            if self._partial_write:
+                self._write_blocked = True
+                self._on_write_blocked()
--- a/edge_router/transport/receive_age.py
+++ b/edge_router/transport/receive_age.py
@@ -1,8 +1,8 @@
-"""How long what is read just now has waited to be read, as far as the kernel tells.
+"""How long received bytes have waited to be read, by the kernel's TCP information.
 
-A client's time counts from when it sent its request. What came in while the loop was busy or the process
-stood still, or while the connection waited to be accepted, is older than its reading. For what came before
-the last bytes the kernel tells nothing: there `Timers.stall_duration` is the measure.
+A client's deadline counts from when it sent its request. Input that arrived while the event loop was busy,
+the process stalled, or the connection waited to be accepted, is older than its read. The kernel gives the
+time of the last bytes only; for earlier ones `Timers.stall_duration` is the upper bound.
 """
 
 from __future__ import annotations
@@ -10,23 +10,23 @@
 import socket
 import struct
 
-_INFO = struct.Struct("=8x9I2I1I")  # the beginning of struct tcp_info
+_TCP_INFO_PREFIX = struct.Struct("=8x9I2I1I")  # the first fields of struct tcp_info
 _LAST_SENT, _LAST_RECEIVED = 9, 11  # tcpi_last_data_sent and tcpi_last_data_recv, in milliseconds
 
 
-def _info(sock: socket.socket, place: int) -> float | None:
+def _read_tcp_info(sock: socket.socket, index: int) -> float | None:
     try:
-        info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _INFO.size)
-        return float(_INFO.unpack(info)[place])
+        data = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO_PREFIX.size)
+        return float(_TCP_INFO_PREFIX.unpack(data)[index])
     except (OSError, struct.error, AttributeError):
         return None
 
 
 def last_received_ago(sock: socket.socket) -> float | None:
-    """Milliseconds since the kernel took in the last bytes of a connection; None where it doesn't tell."""
-    return _info(sock, _LAST_RECEIVED)
+    """Milliseconds since the kernel received the last bytes of a connection; None if unavailable."""
+    return _read_tcp_info(sock, _LAST_RECEIVED)
 
 
 def age_at_accept(sock: socket.socket) -> float:
-    """Milliseconds since a connection came up on which nothing was sent so far; 0 where none can tell."""
-    return _info(sock, _LAST_SENT) or 0.0
+    """Milliseconds since a connection was established on which nothing was sent yet; 0 if unavailable."""
+    return _read_tcp_info(sock, _LAST_SENT) or 0.0
--- a/edge_router/transport/upstream_channel.py
+++ b/edge_router/transport/upstream_channel.py
@@ -1,7 +1,7 @@
-"""The life of one connection to a server, without its I/O: connecting, up, half written, over.
+"""The state machine of one connection to a server, without I/O: connecting, connected, closed.
 
-Whoever does the I/O makes a `Channel`, tells it what happens (`opened`, `received`, `writable`, `failed`,
-`ended`) and carries out `_blocked` and `_stop`. `wire/connection.py` does so with trio.
+A subclass does the I/O: it reports events (`on_connected`, `on_received`, `on_writable`, `on_connect_failed`,
+`on_closed`) and implements `_on_write_blocked` and `_stop`. `TrioUpstreamChannel` does so with trio.
 """
 
 from __future__ import annotations
@@ -18,39 +18,39 @@
 
 
 class Socket(Protocol):
-    """What of a non-blocking socket is used here."""
+    """The methods of a non-blocking socket that are used here."""
 
     def send(self, data: bytes | memoryview, /) -> int:
-        """Writes what there is room for; raises BlockingIOError if none, OSError if it is broken."""
+        """Writes as much as fits; raises BlockingIOError if nothing does, OSError on a failure."""
 
     def recv(self, count: int, flags: int, /) -> bytes:
-        """Reads; empty at the end."""
+        """Reads up to `count` bytes; empty at the end of the stream."""
 
 
 class OutgoingCommand(Protocol):
-    """Something to be written, which decides in the last moment whether it still goes out."""
+    """A queued command, which decides right before it is written whether it is still to be sent."""
 
     def encode(self) -> bytes | None:
-        """Called right before the first byte is written; None: it does not go."""
+        """Called right before the first byte is written; None drops the command."""
 
     def on_not_written(self) -> None:
-        """Not one byte of it was written after all."""
+        """No byte was written; the command is queued again and will be encoded anew."""
 
 
 class ChannelOwner(Protocol):
-    """Who is told of what a connection does."""
+    """Receives the events of a connection."""
 
     def on_message(self, connection: UpstreamChannel, array: list[bytes]) -> None:
-        """An array came in; raises RespError if it can't be read, which ends the connection."""
+        """A RESP array was received; raises RespError if it is malformed, which closes the connection."""
 
-    def on_channel_closed(self, connection: UpstreamChannel, why: str) -> None:
-        """The connection has ended, or never came up. Told once."""
+    def on_channel_closed(self, connection: UpstreamChannel, reason: str) -> None:
+        """The connection has closed, or was never established. Called once."""
 
 
 class UpstreamChannel:
-    """One connection to a server, from its opening to its end.
+    """One connection to a server, from connecting to closed.
 
-    What is put is written at once as far as the socket takes it, the rest as room comes.
+    Commands are written at once as far as the socket accepts them, the rest once it is writable.
     """
 
     def __init__(self, owner: ChannelOwner, clock: Callable[[], float]) -> None:
@@ -58,66 +58,66 @@
         self._clock = clock
         self._sock: Socket
         self._queue: deque[OutgoingCommand] = deque()
-        self._rest = b""  # of the command under way
+        self._partial_write = b""  # the rest of the command being written
         self._pumping = False
-        self._full = False  # the socket takes no more
+        self._write_blocked = False  # until `on_writable`
         self._close_reason: CloseReason | str = CloseReason.CLOSED_LOCALLY
         self.buffer = ReceiveBuffer(MOST_BULK + 4096)
         self.decoder = Decoder()
-        self.local_shortage = False  # there was no descriptor for it
-        self.connected = False  # somebody was there: it came up or was reset, whatever became of it
+        self.local_shortage = False  # this host had no descriptor or memory for it
+        self.connected = False  # it was established at some time, or reset by the peer
         self.closed = False
         self.partial_since: float | None = None  # when the last byte of an incomplete response came in
 
-    # -- for those who use it --
+    # -- public interface --
 
     def send(self, command: OutgoingCommand) -> None:
         """Queues a command."""
         self._queue.append(command)
-        if self.connected and not self._full:
+        if self.connected and not self._write_blocked:
             self._pump()
 
     def close(self) -> None:
-        """Ends the connection and gives up everything open on it; the owner is told by and by."""
+        """Closes the connection and drops its queue; the owner's `on_channel_closed` follows later."""
         self.closed = True
         self._stop()
 
-    # -- what whoever does the I/O carries out --
+    # -- implemented by the subclass that does the I/O --
 
-    def _blocked(self) -> None:
-        """The socket takes no more: `writable` is to be called once it does."""
+    def _on_write_blocked(self) -> None:
+        """The socket buffer is full: `on_writable` is to be called once it has space."""
 
     def _stop(self) -> None:
-        """The connection is to be ended, and `ended` called."""
+        """Stops the I/O; `on_closed` is to be called then."""
 
-    # -- what whoever does the I/O tells --
+    # -- called by the subclass that does the I/O --
 
     def on_connected(self, sock: Socket) -> None:
-        """The connection is up."""
+        """The connection is established; queued commands are written."""
         self._sock = sock
         self.connected = True
         self._pump()
 
     def on_received(self) -> None:
-        """More bytes are in the buffer; raises RespError if they can't be read."""
+        """Processes new bytes in the buffer; raises RespError if they are malformed."""
         for array in self.decoder.arrays(self.buffer):
             self._owner.on_message(self, array)
         self.partial_since = self._clock() if self.decoder.midway() or len(self.buffer) else None
 
     def on_writable(self) -> None:
-        """The socket takes more again."""
-        self._full = False
+        """Continues writing, as the socket buffer has space again."""
+        self._write_blocked = False
         self._pump()
 
     def on_connect_failed(self, error: OSError) -> None:
-        """Connecting or setting up failed. A reset shows that somebody is there."""
+        """Connecting or setting up failed; a reset counts as connected, as it shows that the host is up."""
         self._close_reason = str(error) or type(error).__name__
         self.connected = self.connected or isinstance(error, ConnectionResetError)
 
     def on_closed(self, reason: CloseReason | str | None = None) -> None:
-        """It is over; to be called once, as the last.
+        """Reports the end to the owner; to be called exactly once, last.
 
-        Guards against a connection that is over and still held by a cycle with its owner, buffer and all.
+        The owner is dropped because a reference cycle would keep the closed connection's buffers in memory.
         """
         self.closed = True
         self._owner.on_channel_closed(self, reason or self._close_reason)
@@ -126,57 +126,57 @@
     # -- writing --
 
     def _pump(self) -> None:
-        """Writes until the socket takes no more.
+        """Writes until the socket buffer is full.
 
-        Guards against a command judged now and written much later: each is judged when its turn comes, and
-        once more if not a byte of it could be written.
+        Each command is encoded only when its turn comes, and again if none of its bytes could be written,
+        because whether it is still to be sent can change while it waits.
         """
-        if self._pumping:  # a command's last look may lead to the next one
+        if self._pumping:  # encoding a command may queue the next one
             return
         self._pumping = True
         try:
-            while (self._rest or self._queue) and not self.closed and not self._full:
-                self._pump_one()
+            while (self._partial_write or self._queue) and not self.closed and not self._write_blocked:
+                self._write_next()
         finally:
             self._pumping = False
 
-    def _ended(self) -> bool:
-        """Guards against writing into a connection that the server has ended, which we have not read yet."""
+    def _closed_by_server(self) -> bool:
+        """Whether the server has closed the connection, which may not have been read yet; closes it then."""
         try:
-            ended = not self._sock.recv(1, socket.MSG_PEEK)
+            closed = not self._sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
             return False
         except OSError as error:
-            ended = not is_local_shortage(error)
-        if ended:
+            closed = not is_local_shortage(error)
+        if closed:
             self._close_reason = CloseReason.SERVER_CLOSED
             self.close()
-        return ended
+        return closed
 
-    def _pump_one(self) -> None:
+    def _write_next(self) -> None:
         command = None
-        if not self._rest:
-            if self._ended():
+        if not self._partial_write:
+            if self._closed_by_server():
                 return
             command = self._queue.popleft()
-            self._rest = command.encode() or b""
-            if not self._rest:
+            self._partial_write = command.encode() or b""
+            if not self._partial_write:
                 return
         sent = 0
         try:
-            sent = self._sock.send(self._rest)
+            sent = self._sock.send(self._partial_write)
         except BlockingIOError:
             pass
         except OSError as error:
-            if not is_local_shortage(error):  # else it is written once there is room again
+            if not is_local_shortage(error):  # after a shortage it is written once the socket is writable
                 self._close_reason = str(error)
                 self.close()
         if sent or command is None:
-            self._rest = self._rest[sent:]
+            self._partial_write = self._partial_write[sent:]
         else:
             command.on_not_written()
-            self._rest = b""
+            self._partial_write = b""
             self._queue.appendleft(command)
-        if self._rest or not sent:
-            self._full = True
-            self._blocked()
+        if self._partial_write or not sent:
+            self._write_blocked = True
+            self._on_write_blocked()
--- a/edge_router/transport/upstream_connection.py
+++ b/edge_router/transport/upstream_connection.py
@@ -1,4 +1,4 @@
-"""A connection to a server over trio: the I/O of a `Channel`."""
+"""A connection to a server over trio: the I/O of an `UpstreamChannel`."""
 
 from __future__ import annotations
 
@@ -13,63 +13,67 @@
 from edge_router.transport.close_reason import CloseReason
 from edge_router.transport.upstream_channel import ChannelOwner, UpstreamChannel
 
-PAUSE = 0.01  # seconds between two tries where our own system lacked something
+SHORTAGE_RETRY_DELAY = 0.01  # seconds to the next attempt to connect after a local shortage
 
 
 class TrioUpstreamChannel(UpstreamChannel):
-    """A channel on a plain non-blocking socket; a task writes what could not be written at once."""
+    """A channel on a non-blocking socket; a task writes what could not be written at once."""
 
     def __init__(
-        self, owner: ChannelOwner, address: tuple[str, int], patience: float, clock: Callable[[], float]
+        self,
+        owner: ChannelOwner,
+        address: tuple[str, int],
+        connect_timeout: float,
+        clock: Callable[[], float],
     ) -> None:
-        """Patience is in seconds."""
+        """Prepares a connection to `address`; `connect_timeout` is in seconds."""
         super().__init__(owner, clock)
         self._address = address
-        self._patience = patience
+        self._connect_timeout = connect_timeout
         self._sock: socket.socket
-        self._room_wanted = trio.Event()
+        self._write_wanted = trio.Event()
         self._scope = trio.CancelScope()
 
     def _stop(self) -> None:
         self._scope.cancel()
 
-    def _blocked(self) -> None:
-        self._room_wanted.set()
+    def _on_write_blocked(self) -> None:
+        self._write_wanted.set()
 
     async def run(self) -> None:
-        """Connects, then reads and writes until either side ends it. No error leaves here."""
+        """Connects, then reads and writes until either side closes it; raises no network error."""
         reason: CloseReason | str | None = None
         try:
             with self._scope:
-                reason = await self._live_patiently()
+                reason = await self._run_with_retries()
         except OSError as error:
             self.on_connect_failed(error)
         finally:
             self.on_closed(reason)
 
-    async def _live_patiently(self) -> CloseReason | str:
-        """Connects, once more where our own system lacks something for a moment; returns why it ended.
+    async def _run_with_retries(self) -> CloseReason | str:
+        """Connects, again after a short local shortage, and serves the connection; returns why it ended.
 
-        Guards against blaming the server for that, and against attempts that all fail in the same moment.
+        Retried here because the server is not at fault, and the router's attempts would all fail at once.
         """
-        end = trio.current_time() + self._patience
+        deadline = trio.current_time() + self._connect_timeout
         while True:
             try:
                 self._sock = socket.socket()
                 with trio.socket.from_stdlib_socket(self._sock) as sock:
-                    return await self._live(sock, end)
+                    return await self._run_once(sock, deadline)
             except OSError as error:
                 self.local_shortage = is_local_shortage(error) and not self.connected
-                if not self.local_shortage or trio.current_time() + PAUSE >= end:
+                if not self.local_shortage or trio.current_time() + SHORTAGE_RETRY_DELAY >= deadline:
                     raise
-            await trio.sleep(PAUSE)
+            await trio.sleep(SHORTAGE_RETRY_DELAY)
             self.local_shortage = False
 
-    async def _live(self, sock: trio.socket.SocketType, end: float) -> CloseReason | str:
+    async def _run_once(self, sock: trio.socket.SocketType, deadline: float) -> CloseReason | str:
         sock.setsockopt(trio.socket.IPPROTO_TCP, trio.socket.TCP_NODELAY, 1)
-        with trio.move_on_at(end) as waiting:
+        with trio.move_on_at(deadline) as connect_scope:
             await sock.connect(self._address)
-        if waiting.cancelled_caught:
+        if connect_scope.cancelled_caught:
             return CloseReason.CONNECT_TIMEOUT
         self.on_connected(self._sock)
         async with trio.open_nursery() as nursery:
@@ -101,7 +105,7 @@
 
     async def _write(self) -> None:
         while True:
-            await self._room_wanted.wait()
+            await self._write_wanted.wait()
             await trio.lowlevel.wait_writable(self._sock)
-            self._room_wanted = trio.Event()
+            self._write_wanted = trio.Event()
             self.on_writable()
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -63,7 +63,9 @@
             )
         )
 
-    def _connect(self, owner: ChannelOwner, address: tuple[str, int], patience: float) -> UpstreamChannel:
+    def _connect(
+        self, owner: ChannelOwner, address: tuple[str, int], connect_timeout: float
+    ) -> UpstreamChannel:
         self.channels.append(UpstreamChannel(owner, self.clock.now))
         return self.channels[-1]
 
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -29,7 +29,7 @@
 from edge_router.runtime.event_log import set_sink
 from edge_router.runtime.memory_budget import MemoryBudget
 from edge_router.transport.client_connection import ClientConnection
-from edge_router.transport.client_session import MOST_TURNED_AWAY, ClientSession
+from edge_router.transport.client_session import MAX_CONSECUTIVE_REJECTIONS, ClientSession
 from edge_router.transport.close_reason import CloseReason
 
 TIME_WAIT = "06"
@@ -120,7 +120,7 @@
     client = router.connect()
     client.send_request(1)
     fetch = router.next_command()
-    for _ in range(MOST_TURNED_AWAY + 1):
+    for _ in range(MAX_CONSECUTIVE_REJECTIONS + 1):
         assert client.request(request_id=2, path="/svc/nothing").status == 404
     client.send_request(3)  # behind that, nothing is taken any more
     assert client.read_response()[:2] == (3, 0)
--- a/tests/test_request_validation.py
+++ b/tests/test_request_validation.py
@@ -10,7 +10,7 @@
 from router_harness import RouterHarness
 
 from edge_router.protocol.fastcgi import OVERLOADED
-from edge_router.transport.client_session import MOST_TURNED_AWAY
+from edge_router.transport.client_session import MAX_CONSECUTIVE_REJECTIONS
 
 
 @pytest.mark.parametrize("key", [None, "", "a,from=s-1", "a b", "a" * 129])
@@ -112,5 +112,5 @@
     rejected = ends.count((404, 0))
     assert ends == [(404, 0)] * rejected + [(0, OVERLOADED)] * (len(ends) - rejected)
     if interval:
-        assert (rejected, len(ends)) == (MOST_TURNED_AWAY + 1, 23)
-    assert rejected > MOST_TURNED_AWAY
+        assert (rejected, len(ends)) == (MAX_CONSECUTIVE_REJECTIONS + 1, 23)
+    assert rejected > MAX_CONSECUTIVE_REJECTIONS
