--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -30,7 +30,8 @@
 from edge_router.runtime.event_log import set_sink
 from edge_router.runtime.memory_budget import MemoryBudget
 from edge_router.transport.client_connection import ClientConnection
-from edge_router.transport.client_session import MOST_TURNED_AWAY, ClientSession
+from edge_router.transport.client_session import MAX_CONSECUTIVE_REJECTIONS, ClientSession
+from edge_router.transport.close_reason import CloseReason
 
 TIME_WAIT = "06"
 
@@ -122,7 +123,7 @@
     client = router.connect()
     client.send_request(1)
     fetch = router.next_command()
-    for _ in range(MOST_TURNED_AWAY + 1):
+    for _ in range(MAX_CONSECUTIVE_REJECTIONS + 1):
         assert client.request(request_id=2, path="/svc/nothing").status == 404
     client.send_request(3)  # behind that, nothing is taken any more
     assert client.read_response()[:2] == (3, 0)
@@ -149,12 +150,12 @@
                 theirs.sendall(
                     FastCgiClient.encode_request(FastCgiClient.__new__(FastCgiClient), path="/status/live")
                 )
-                connection.close_if_idle("room for others")
+                connection.close_if_idle(CloseReason.EVICTED)
                 assert not connection.is_closing()
                 with trio.fail_after(TEST_TIMEOUT):
                     await handler.came.wait()
                 assert b"200 OK" in theirs.recv(1000)
-                connection.close_if_idle("room for others")
+                connection.close_if_idle(CloseReason.EVICTED)
                 theirs.sendall(
                     FastCgiClient.encode_request(FastCgiClient.__new__(FastCgiClient), path="/status/live")
                 )
