--- a/edge_router/model_checker/codecs.py
+++ b/edge_router/model_checker/codecs.py
@@ -17,6 +17,7 @@
 from edge_router.model_checker.results import Found
 from edge_router.protocol import fastcgi, resp
 from edge_router.protocol.buffer import BufferFullError, ReceiveBuffer
+from edge_router.protocol.fastcgi import RecordType
 from edge_router.runtime.memory_budget import MemoryBudget
 
 MOST_SPLIT_IN_ALL_WAYS = 12  # bytes
@@ -79,13 +80,13 @@
 
 def decode_resp(parts: Iterator[bytes]) -> Outcome:
     """Decodes RESP from these reads."""
-    buffer, decoder, out = ReceiveBuffer(MOST_UNREAD), resp.Decoder(), []
+    buffer, decoder, out = ReceiveBuffer(MOST_UNREAD), resp.RespDecoder(), []
     try:
         for part in parts:
             buffer.append(part)
-            for array in decoder.arrays(buffer):
+            for array in decoder.decode_arrays(buffer):
                 out.append(repr(array))
-            if len(buffer) > max(resp.MOST_LINE, decoder._bulk + 2) + len(part):
+            if len(buffer) > max(resp.MAX_LINE_SIZE, (decoder._bulk_size or 0) + 2) + len(part):
                 return (*out,), "held too much"
     except (resp.RespError, BufferFullError) as error:
         return (*out,), type(error).__name__
@@ -96,15 +97,16 @@
     """Decodes FastCGI from these reads; all of the memory budget must be released in the end."""
     budget = MemoryBudget()
     budget.limit = 4e5
-    buffer, decoder, out = ReceiveBuffer(MOST_UNREAD), fastcgi.Decoder(budget, lambda: 1.0), []
+    buffer, decoder, out = ReceiveBuffer(MOST_UNREAD), fastcgi.FastCgiDecoder(budget, lambda: 1.0), []
     error = ""
     try:
         for part in parts:
             buffer.append(part)
-            for event in decoder.events(buffer):
+            for event in decoder.decode_events(buffer):
                 out.append(repr(event))
             if any(
-                taking.size() > fastcgi.MOST_PARAMS + fastcgi.MOST_BODY for taking in decoder._taking.values()
+                partial.size() > fastcgi.MAX_PARAMS_SIZE + fastcgi.MAX_BODY_SIZE
+                for partial in decoder._partial_requests.values()
             ):
                 error = "held too much"
                 break
@@ -113,11 +115,11 @@
     decoder.close()
     if budget._used:
         error += f" and {budget._used} bytes kept"
-    return (*out, f"open {sorted(decoder.open)} away {decoder.turned_away}"), error
+    return (*out, f"open {sorted(decoder.open_ids)} away {decoder.rejected_in_a_row}"), error
 
 
 def _begin(ident: int, role: int = 1, flags: int = 1) -> bytes:
-    return fastcgi.record(fastcgi.BEGIN, ident, struct.pack(">HB5x", role, flags))
+    return fastcgi.record(RecordType.BEGIN_REQUEST, ident, struct.pack(">HB5x", role, flags))
 
 
 def _padded(kind: int, ident: int, content: bytes, padding: int) -> bytes:
@@ -157,39 +159,39 @@
     pair = b"\x01\x01ab"
     request = (
         _begin(1)
-        + fastcgi.record(fastcgi.PARAMS, 1, pair)
-        + fastcgi.record(fastcgi.PARAMS, 1)
-        + fastcgi.record(fastcgi.STDIN, 1)
+        + fastcgi.record(RecordType.PARAMS, 1, pair)
+        + fastcgi.record(RecordType.PARAMS, 1)
+        + fastcgi.record(RecordType.STDIN, 1)
     )
     return [
         _begin(1)[:8],
         request,
-        request + fastcgi.record(fastcgi.ABORT, 1),
+        request + fastcgi.record(RecordType.ABORT_REQUEST, 1),
         _begin(2, 3),
-        fastcgi.record(fastcgi.GET_VALUES, 0, b"\x0f\x00FCGI_MPXS_CONNS"),
+        fastcgi.record(RecordType.GET_VALUES, 0, b"\x0f\x00FCGI_MPXS_CONNS"),
         _begin(1)
-        + _padded(fastcgi.PARAMS, 1, pair, 3)
-        + fastcgi.record(fastcgi.PARAMS, 1)
-        + _padded(fastcgi.STDIN, 1, b"xy", 5)
-        + fastcgi.record(fastcgi.STDIN, 1),
-        _begin(1) + fastcgi.record(fastcgi.ABORT, 1),
+        + _padded(RecordType.PARAMS, 1, pair, 3)
+        + fastcgi.record(RecordType.PARAMS, 1)
+        + _padded(RecordType.STDIN, 1, b"xy", 5)
+        + fastcgi.record(RecordType.STDIN, 1),
+        _begin(1) + fastcgi.record(RecordType.ABORT_REQUEST, 1),
     ]
 
 
 def illegal_fastcgi() -> list[bytes]:
     """Streams that break FastCGI, made by hand."""
-    body = b"".join(fastcgi.record(fastcgi.STDIN, 1, b"z" * 60_000) for _ in range(3))
+    body = b"".join(fastcgi.record(RecordType.STDIN, 1, b"z" * 60_000) for _ in range(3))
     return [
-        fastcgi.record(fastcgi.BEGIN, 1, b"\0\1"),
+        fastcgi.record(RecordType.BEGIN_REQUEST, 1, b"\0\1"),
         _begin(1) + _begin(1),
         b"\x02" + _begin(1)[1:],
         _begin(1)
-        + fastcgi.record(fastcgi.PARAMS, 1, b"\x05\x05ab")
-        + fastcgi.record(fastcgi.PARAMS, 1)
-        + fastcgi.record(fastcgi.STDIN, 1),
-        fastcgi.record(fastcgi.GET_VALUES, 0, b"\x85"),
+        + fastcgi.record(RecordType.PARAMS, 1, b"\x05\x05ab")
+        + fastcgi.record(RecordType.PARAMS, 1)
+        + fastcgi.record(RecordType.STDIN, 1),
+        fastcgi.record(RecordType.GET_VALUES, 0, b"\x85"),
         fastcgi.record(77, 0, b"?"),
-        _begin(1) + fastcgi.record(fastcgi.PARAMS, 1) + body,
+        _begin(1) + fastcgi.record(RecordType.PARAMS, 1) + body,
     ]
 
 
--- a/edge_router/model_checker/fingerprint/transport.py
+++ b/edge_router/model_checker/fingerprint/transport.py
@@ -9,7 +9,7 @@
 from edge_router.model_checker.fingerprint.common import REPORTED, WIRING, Fields, Frame, Ledger
 from edge_router.model_checker.fingerprint.proxy import encode_command
 from edge_router.protocol import fastcgi
-from edge_router.protocol.resp import Decoder
+from edge_router.protocol.resp import RespDecoder
 from edge_router.proxy import request_table
 from edge_router.runtime.timers import Timers
 from edge_router.transport.client_session import ClientSession
@@ -38,7 +38,7 @@
             "_why": REPORTED,
         },
     ),
-    Decoder: Fields("_items _left _bulk", {}),
+    RespDecoder: Fields("_items _missing_items _bulk_size", {}),
     ClientSession: Fields(
         "_decoder _buffer _leaving _partial_since silent _urgent _answers _unsent "
         "_rest _full _broken closing finished",
@@ -54,7 +54,9 @@
             "_unread_last": "bytes are read as soon as they arrive here",
         },
     ),
-    fastcgi.Decoder: Fields("_taking open turned_away keep", {"_budget": WIRING, "_clock": WIRING}),
+    fastcgi.FastCgiDecoder: Fields(
+        "_partial_requests open_ids rejected_in_a_row keep_connection", {"_budget": WIRING, "_clock": WIRING}
+    ),
 }
 
 
@@ -67,8 +69,8 @@
         channel._full,
         bytes(buffer._data[buffer._start : buffer._end]),
         tuple(decoder._items),
-        decoder._left,
-        decoder._bulk,
+        decoder._missing_items,
+        decoder._bulk_size,
         channel.local_shortage,
         channel.connected,
         channel.closed,
@@ -80,10 +82,10 @@
     """A client connection: its decoder, its buffers and what it still owes."""
     decoder = session._decoder
     return (
-        tuple(sorted(decoder.open)),
-        tuple(sorted(decoder._taking)),
-        decoder.turned_away,
-        decoder.keep,
+        tuple(sorted(decoder.open_ids)),
+        tuple(sorted(decoder._partial_requests)),
+        decoder.rejected_in_a_row,
+        decoder.keep_connection,
         len(session._buffer),
         session._leaving,
         frame.time(session._partial_since),
--- a/edge_router/model_checker/model/caches.py
+++ b/edge_router/model_checker/model/caches.py
@@ -97,7 +97,7 @@
             fields += [("ver", ETAG), ("born", f"{created_at:.0f}")]
         body = f"{kind}|{class_name}|{endpoint_id:x}|{created_at:.0f}".encode() if code == "200" else b""
         fields += [("waited", "5"), ("meter", "busy:1;x0:0.5")]
-        data = resp.encode(request_id.encode(), code.encode(), resp.words(fields), body)
+        data = resp.encode(request_id.encode(), code.encode(), resp.encode_fields(fields), body)
         return CacheResponse(data, body, created_at)
 
     def _response_to(self, kind: str, channel: CacheChannel, place: int) -> CacheResponse:
--- a/edge_router/model_checker/model/clients.py
+++ b/edge_router/model_checker/model/clients.py
@@ -20,6 +20,7 @@
 from edge_router.model_checker.properties import RequestState, ResponseKind
 from edge_router.model_checker.scope import CACHE, CLASSES, Scope
 from edge_router.protocol import fastcgi
+from edge_router.protocol.fastcgi import ProtocolStatus, RecordType
 from edge_router.proxy.admission import RESPONSE_MARGIN
 from edge_router.proxy.request_router import BACKSTOP_DELAY
 
@@ -100,13 +101,13 @@
 
     def _record_received(self, kind: int, ident: int, content: bytes) -> None:
         """A FastCGI record has reached the client."""
-        if kind == fastcgi.STDOUT:
+        if kind == RecordType.STDOUT:
             self.partial_responses[ident] = self.partial_responses.get(ident, b"") + content
-        elif kind == fastcgi.END:
+        elif kind == RecordType.END_REQUEST:
             answer = self.partial_responses.pop(ident, b"")
             if answer:
                 self._response_received(ident, answer)
-            elif content[4] == fastcgi.OVERLOADED:
+            elif content[4] == ProtocolStatus.OVERLOADED:
                 self._harness.observer.client_response_received(
                     request_id_at(ident - 1), ResponseKind.REJECTED, b""
                 )
@@ -149,7 +150,7 @@
         if (self.session, place + 1) in self._harness.front._open:
             self._harness.observer.client_disconnected(request_id_at(place))
         # otherwise the abort crosses an answer that is on its way
-        self.session.feed(fastcgi.record(fastcgi.ABORT, place + 1))
+        self.session.feed(fastcgi.record(RecordType.ABORT_REQUEST, place + 1))
 
     def retry(self, place: int) -> None:
         """The client sends an answered request once more, under a new id."""
--- a/edge_router/model_checker/model/settling.py
+++ b/edge_router/model_checker/model/settling.py
@@ -18,7 +18,7 @@
     """How much of each kind of resource the router holds; all are 0 in a quiet state."""
     router, policy, session = state.harness.router, state.harness.router._policy, state.clients.session
     loads = [*policy.loads.by_endpoint.values(), policy.loads.zone_link]
-    session_ids = 0 if session.finished else len(session._decoder.open)
+    session_ids = 0 if session.finished else len(session._decoder.open_ids)
     unsent_answers = 0 if session.finished else len(session._answers) + session._unsent
     attempts_out = sum(abs(load.in_flight) for load in loads)
     work_out = round(sum(abs(load.in_flight_work) for load in loads), 6)
--- a/edge_router/model_checker/peers.py
+++ b/edge_router/model_checker/peers.py
@@ -10,6 +10,7 @@
 from typing import Protocol
 
 from edge_router.protocol import fastcgi, resp
+from edge_router.protocol.fastcgi import RecordType
 from edge_router.proxy.upstream_connections import UpstreamConnection
 from edge_router.runtime.memory_budget import MemoryBudget
 from edge_router.transport.client_session import ClientSession, RequestHandler
@@ -75,7 +76,7 @@
             self._command = bytes(data)
         self._remaining = bytes(data[count:])
         if starts and (match := _FETCH.match(bytes(data))):
-            self._observer.fetch_started(self._channel, match[1].decode(), resp.fields_of(match[2]))
+            self._observer.fetch_started(self._channel, match[1].decode(), resp.parse_fields(match[2]))
         if not self._remaining and not self.end:
             self._channel.command_received(self._command)
         return count
@@ -249,11 +250,13 @@
     params = b"".join(
         bytes((len(name), len(value))) + name.encode() + value.encode() for name, value in pairs.items()
     )
-    body = fastcgi.record(fastcgi.STDIN, ident, request.body) if request.body else b""
+    body = fastcgi.record(RecordType.STDIN, ident, request.body) if request.body else b""
     return (
-        fastcgi.record(fastcgi.BEGIN, ident, struct.pack(">HB5x", fastcgi.RESPONDER, fastcgi.KEEP_CONN))
-        + fastcgi.record(fastcgi.PARAMS, ident, params)
-        + fastcgi.record(fastcgi.PARAMS, ident)
+        fastcgi.record(
+            RecordType.BEGIN_REQUEST, ident, struct.pack(">HB5x", fastcgi.RESPONDER, fastcgi.KEEP_CONN)
+        )
+        + fastcgi.record(RecordType.PARAMS, ident, params)
+        + fastcgi.record(RecordType.PARAMS, ident)
         + body
-        + fastcgi.record(fastcgi.STDIN, ident)
+        + fastcgi.record(RecordType.STDIN, ident)
     )
--- a/edge_router/protocol/buffer.py
+++ b/edge_router/protocol/buffer.py
@@ -1,72 +1,76 @@
-"""The one input buffer of a connection: it grows as needed and is compacted in place."""
+"""The receive buffer of a connection, which grows as needed and is compacted in place."""
 
 from __future__ import annotations
 
 import struct
 from typing import Any
 
-FIRST = 4096  # bytes of a new buffer, and the least room offered for a read
-KEEP = 65_536  # an empty buffer larger than this is given back
+INITIAL_SIZE = 4096  # bytes of a new buffer, and the default least size of the view for a read
+MAX_IDLE_SIZE = 65_536  # bytes; an empty buffer larger than this is replaced by a new one
 
 
 class BufferFullError(Exception):
-    """The peer sent more than the connection may hold unread."""
+    """The peer sent more than the buffer may hold unread."""
 
 
 class ReceiveBuffer:
-    """Bytes between `_start` and `_end` of one bytearray are waiting to be read."""
+    """A bytearray whose bytes between `_start` and `_end` are unread; at most `max_size` bytes."""
 
-    def __init__(self, most: int) -> None:
-        self._data = bytearray(FIRST)
-        self._most = most
+    def __init__(self, max_size: int) -> None:
+        self._data = bytearray(INITIAL_SIZE)
+        self._max_size = max_size
         self._start = 0
         self._end = 0
 
     def __len__(self) -> int:
         return self._end - self._start
 
-    def writable_view(self, want: int = FIRST) -> memoryview:
-        """A view to receive into; release it (or leave its `with` block) before anything else."""
+    def writable_view(self, min_size: int = INITIAL_SIZE) -> memoryview:
+        """A view of the free space to receive into, of `min_size` bytes unless `max_size` is reached.
+
+        Release it (or leave its `with` block) before any other call: the buffer can't be resized while a
+        view of it exists. Raises BufferFullError if there is no space.
+        """
         if self._start == self._end:
             self._start = self._end = 0
-            if len(self._data) > KEEP:
-                self._data = bytearray(FIRST)
-        if len(self._data) - self._end < want and self._start:
-            held = self._end - self._start
-            self._data[:held] = self._data[self._start : self._end]
-            self._start, self._end = 0, held
-        if len(self._data) - self._end < want:
-            size = min(self._most, max(2 * len(self._data), self._end + want))
+            if len(self._data) > MAX_IDLE_SIZE:
+                self._data = bytearray(INITIAL_SIZE)
+        if len(self._data) - self._end < min_size and self._start:
+            unread = self._end - self._start
+            self._data[:unread] = self._data[self._start : self._end]
+            self._start, self._end = 0, unread
+        if len(self._data) - self._end < min_size:
+            size = min(self._max_size, max(2 * len(self._data), self._end + min_size))
             if size <= self._end:
                 raise BufferFullError(f"{self._end} bytes unread")
             self._data.extend(bytes(size - len(self._data)))
         return memoryview(self._data)[self._end :]
 
     def commit(self, count: int) -> None:
-        """So many bytes were received into the last room."""
+        """Marks `count` bytes of the last view as received."""
         self._end += count
 
     def append(self, data: bytes | bytearray) -> None:
-        """Appends bytes that are at hand."""
+        """Appends bytes; raises BufferFullError if there is no space."""
         with self.writable_view(len(data)) as view:
             view[: len(data)] = data
         self.commit(len(data))
 
-    def find(self, mark: bytes, within: int) -> int:
-        """Where the mark begins, counted from the first unread byte; -1 if not within so many bytes."""
-        at = self._data.find(mark, self._start, min(self._end, self._start + within))
-        return at - self._start if at >= 0 else -1
+    def find(self, delimiter: bytes, within: int) -> int:
+        """The offset of the delimiter from the first unread byte; -1 if the first `within` bytes lack it."""
+        position = self._data.find(delimiter, self._start, min(self._end, self._start + within))
+        return position - self._start if position >= 0 else -1
 
-    def peek_struct(self, form: struct.Struct) -> tuple[Any, ...]:
-        """The next bytes in that form, left where they are; they must be there."""
-        return form.unpack_from(self._data, self._start)
+    def peek_struct(self, layout: struct.Struct) -> tuple[Any, ...]:
+        """Unpacks the next bytes without consuming them; there must be enough."""
+        return layout.unpack_from(self._data, self._start)
 
     def read(self, count: int) -> bytes:
-        """The next bytes, consumed."""
+        """Consumes and returns the next `count` bytes, or all if there are fewer."""
         data = bytes(self._data[self._start : min(self._end, self._start + count)])
         self._start += len(data)
         return data
 
     def skip(self, count: int) -> None:
-        """Consumes bytes unseen."""
+        """Consumes the next `count` bytes, or all if there are fewer."""
         self._start = min(self._end, self._start + count)
--- a/edge_router/protocol/fastcgi.py
+++ b/edge_router/protocol/fastcgi.py
@@ -1,4 +1,4 @@
-"""FastCGI 1.0, role Responder; a codec that knows no I/O."""
+"""The server side of FastCGI 1.0 in the role Responder: a codec without I/O."""
 
 from __future__ import annotations
 
@@ -6,241 +6,314 @@
 from collections import deque
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
+from enum import IntEnum, StrEnum
 from typing import NamedTuple
 
 from edge_router.protocol.buffer import ReceiveBuffer
 from edge_router.runtime.memory_budget import MemoryBudget
 
-BEGIN, ABORT, END, PARAMS, STDIN, STDOUT, STDERR, DATA, GET_VALUES, GET_VALUES_RESULT, UNKNOWN = range(1, 12)
-COMPLETE, CANT_MPX, OVERLOADED, UNKNOWN_ROLE = range(4)
-RESPONDER = 1
-KEEP_CONN = 1
 
-MOST_OPEN = 32  # requests at once on a connection
-MOST_PARAMS = 32_768
-MOST_BODY = 65_536
-PIECE = 16_384  # bytes of an answer in one record, so that answers take turns
+class RecordType(IntEnum):
+    """The types of records; FastCGI 1.0, section 8."""
+
+    BEGIN_REQUEST = 1
+    ABORT_REQUEST = 2
+    END_REQUEST = 3
+    PARAMS = 4
+    STDIN = 5
+    STDOUT = 6
+    STDERR = 7
+    DATA = 8
+    GET_VALUES = 9
+    GET_VALUES_RESULT = 10
+    UNKNOWN_TYPE = 11
+
+
+class ProtocolStatus(IntEnum):
+    """The protocol status in an END_REQUEST record."""
+
+    COMPLETE = 0
+    CANT_MPX_CONN = 1
+    OVERLOADED = 2
+    UNKNOWN_ROLE = 3
+
+
+class RequestError(StrEnum):
+    """Why a request is invalid, in the words of the log."""
+
+    PARAMS_TOO_LONG = "the parameters are too long"
+    BODY_TOO_LONG = "the body is too long"
+    INCOMPLETE_IN_TIME = "not whole in time"
+    MALFORMED_PARAMS = "parameters"
+
+
+PROTOCOL_VERSION = 1
+RESPONDER = 1  # the one role that is served
+KEEP_CONN = 1  # the flag of BEGIN_REQUEST that leaves the closing to the client
+
+MAX_OPEN_REQUESTS = 32  # on one connection
+MAX_PARAMS_SIZE = 32_768  # bytes
+MAX_BODY_SIZE = 65_536  # bytes
+MAX_RECORD_CONTENT = 16_384  # bytes of a response in one record; small, so that responses can interleave
 
 _HEADER = struct.Struct(">BBHHBB")
 _BEGIN = struct.Struct(">HB5x")
 _END = struct.Struct(">IB3x")
+_UNKNOWN_TYPE = struct.Struct(">B7x")
+_LONG_LENGTH = 128  # a first byte from here on begins a length of four bytes
+_ABORTED_APP_STATUS = 1  # of a request that was aborted before it was complete
+_VALUES = {"FCGI_MAX_CONNS": "300", "FCGI_MAX_REQS": "9600", "FCGI_MPXS_CONNS": "1"}
 
 
 class FastCgiError(Exception):
-    """Records that break the protocol; the connection can't go on."""
+    """Records that break the protocol; the connection has to be closed."""
+
+
+@dataclass(frozen=True, slots=True)
+class InvalidRequest:
+    """What is wrong with a request; its text is the reason that is logged."""
+
+    error: RequestError
+    detail: str | None = None
+
+    def __str__(self) -> str:
+        return self.error.value if self.detail is None else f"{self.error}: {self.detail}"
 
 
-class Arrived(NamedTuple):
-    """A request that is whole. `bad` tells what is wrong with it, if anything."""
+class RequestComplete(NamedTuple):
+    """A request that was received completely, or, with `invalid` set, one to be answered with an error.
+
+    `params` and `body` are empty if the request is invalid.
+    """
 
     ident: int
     params: dict[str, str]
     body: bytes
-    bad: str
+    invalid: InvalidRequest | None
 
 
-class Aborted(NamedTuple):
-    """The client no longer waits for this request."""
+class RequestAborted(NamedTuple):
+    """The client no longer waits for the response to a complete request."""
 
     ident: int
 
 
-class Reply(NamedTuple):
-    """Bytes that the protocol itself owes the client."""
+class RecordReply(NamedTuple):
+    """Records to send that answer records of the client by the protocol alone."""
 
     data: bytes
 
 
+DecoderEvent = RequestComplete | RequestAborted | RecordReply
+
+
 @dataclass(slots=True)
-class _Taking:
-    """A request that is still coming in."""
+class _PartialRequest:
+    """A request that is not complete yet."""
 
-    since: float
+    started_at: float  # ms on the decoder's clock
     params: bytearray = field(default_factory=bytearray)
     body: bytearray = field(default_factory=bytearray)
-    params_done: bool = False
-    no_room: bool = False
+    params_complete: bool = False
+    over_budget: bool = False  # content was dropped for lack of memory
 
     def size(self) -> int:
+        """The bytes reserved for it in the memory budget."""
         return len(self.params) + len(self.body)
 
 
-def record(kind: int, ident: int, content: bytes = b"") -> bytes:
+def record(record_type: int, ident: int, content: bytes = b"") -> bytes:
     """One record, without padding."""
-    return _HEADER.pack(1, kind, ident, len(content), 0, 0) + content
+    return _HEADER.pack(PROTOCOL_VERSION, record_type, ident, len(content), 0, 0) + content
 
 
-def end_record(ident: int, status: int = COMPLETE, app: int = 0) -> bytes:
-    """The record that ends a request."""
-    return record(END, ident, _END.pack(app, status))
+def end_record(ident: int, status: int = ProtocolStatus.COMPLETE, app_status: int = 0) -> bytes:
+    """The END_REQUEST record of a request."""
+    return record(RecordType.END_REQUEST, ident, _END.pack(app_status, status))
 
 
-def answer_records(ident: int, head: bytes, body: bytes) -> deque[bytes]:
-    """A whole answer, record by record."""
-    first = max(0, PIECE - len(head))
-    records = deque((record(STDOUT, ident, head + body[:first]),))
-    for at in range(first, len(body), PIECE):
-        records.append(record(STDOUT, ident, body[at : at + PIECE]))
-    records.append(record(STDOUT, ident) + end_record(ident))
+def response_records(ident: int, head: bytes, body: bytes) -> deque[bytes]:
+    """The records of a complete response, the last with its END_REQUEST."""
+    first = max(0, MAX_RECORD_CONTENT - len(head))
+    records = deque((record(RecordType.STDOUT, ident, head + body[:first]),))
+    for start in range(first, len(body), MAX_RECORD_CONTENT):
+        records.append(record(RecordType.STDOUT, ident, body[start : start + MAX_RECORD_CONTENT]))
+    records.append(record(RecordType.STDOUT, ident) + end_record(ident))
     return records
 
 
-def _length(data: bytes, at: int) -> tuple[int, int]:
-    if data[at] < 128:
-        return data[at], at + 1
-    return int.from_bytes(data[at : at + 4], "big") & 0x7FFFFFFF, at + 4
+def _read_length(data: bytes, position: int) -> tuple[int, int]:
+    """The length at this position, of one or four bytes, and the position after it."""
+    if data[position] < _LONG_LENGTH:
+        return data[position], position + 1
+    return int.from_bytes(data[position : position + 4], "big") & 0x7FFFFFFF, position + 4
 
 
-def pairs(data: bytes) -> dict[str, str]:
-    """Name-value pairs; raises ValueError if they are cut short."""
-    found, at = {}, 0
-    while at < len(data):
+def parse_pairs(data: bytes) -> dict[str, str]:
+    """Name-value pairs; raises ValueError if they are truncated."""
+    found, position = {}, 0
+    while position < len(data):
         try:
-            name, at = _length(data, at)
-            value, at = _length(data, at)
+            name_size, position = _read_length(data, position)
+            value_size, position = _read_length(data, position)
         except IndexError:
             raise ValueError("a length is cut short") from None
-        end = at + name + value
+        value_start = position + name_size
+        end = value_start + value_size
         if end > len(data):
             raise ValueError("a pair is cut short")
-        found[data[at : at + name].decode("latin-1")] = data[at + name : end].decode("latin-1")
-        at = end
+        name = data[position:value_start].decode("latin-1")
+        found[name] = data[value_start:end].decode("latin-1")
+        position = end
     return found
 
 
-def _values_result(asked: bytes) -> bytes:
-    known = {"FCGI_MAX_CONNS": "300", "FCGI_MAX_REQS": "9600", "FCGI_MPXS_CONNS": "1"}
+def _values_result(query: bytes) -> bytes:
+    """The GET_VALUES_RESULT record for the names in a GET_VALUES record."""
     try:
-        names = pairs(asked)
+        names = parse_pairs(query)
     except ValueError as error:
         raise FastCgiError(f"values asked for: {error}") from error
-    out = b"".join(
-        bytes((len(name), len(known[name]))) + name.encode() + known[name].encode()
+    content = b"".join(
+        bytes((len(name), len(_VALUES[name]))) + name.encode() + _VALUES[name].encode()
         for name in names
-        if name in known
+        if name in _VALUES
     )
-    return record(GET_VALUES_RESULT, 0, out)
+    return record(RecordType.GET_VALUES_RESULT, 0, content)
+
 
+class FastCgiDecoder:
+    """Decodes the records of one connection to requests, however the bytes were split into reads.
 
-class Decoder:
-    """Requests out of records, however the bytes were split."""
+    `clock` gives milliseconds; the bytes of partial requests are reserved in `budget`.
+    """
 
     def __init__(self, budget: MemoryBudget, clock: Callable[[], float]) -> None:
         self._budget = budget
         self._clock = clock
-        self._taking: dict[int, _Taking] = {}
-        self.open: set[int] = set()  # ids in use, until their end was written
-        self.turned_away = 0  # requests in a row that could not be taken
-        self.keep = True  # whether the client wants the connection kept once all is answered
+        self._partial_requests: dict[int, _PartialRequest] = {}
+        self.open_ids: set[int] = set()  # ids in use, until their END_REQUEST is written
+        self.rejected_in_a_row = 0  # requests
+        self.keep_connection = True  # whether the client wants it kept open once all requests are answered
 
-    def events(self, buffer: ReceiveBuffer) -> Iterator[Arrived | Aborted | Reply]:
-        """What the records that are whole amount to."""
+    def complete_count(self) -> int:
+        """How many complete requests are unanswered."""
+        return len(self.open_ids) - len(self._partial_requests)
+
+    def partial_count(self) -> int:
+        """How many requests have begun and are not complete."""
+        return len(self._partial_requests)
+
+    def decode_events(self, buffer: ReceiveBuffer) -> Iterator[DecoderEvent]:
+        """Consumes the complete records of the buffer; raises FastCgiError if they break the protocol."""
         while len(buffer) >= _HEADER.size:
-            version, kind, ident, length, padding, _ = buffer.peek_struct(_HEADER)
-            if version != 1:
+            version, record_type, ident, length, padding, _ = buffer.peek_struct(_HEADER)
+            if version != PROTOCOL_VERSION:
                 raise FastCgiError(f"version {version}")
             if len(buffer) < _HEADER.size + length + padding:
                 return
             buffer.skip(_HEADER.size)
             content = buffer.read(length)
             buffer.skip(padding)
-            yield from self._one(kind, ident, content)
-
-    def _one(self, kind: int, ident: int, content: bytes) -> Iterator[Arrived | Aborted | Reply]:
-        if kind == GET_VALUES:
-            yield Reply(_values_result(content))
-        elif not ident or kind > GET_VALUES_RESULT:
-            yield Reply(record(UNKNOWN, 0, bytes((kind, 0, 0, 0, 0, 0, 0, 0))))
-        elif kind == BEGIN:
-            yield from self._begin(ident, content)
-        elif kind == ABORT:
-            if ident in self.open:
-                if ident not in self._taking:
-                    yield Aborted(ident)
-                else:
-                    self._taken(ident)
-                    self.open.discard(ident)
-                    yield Reply(end_record(ident, COMPLETE, 1))
-        elif taking := self._taking.get(ident):  # of an unknown id: passed over, as the standard asks
-            if kind in (PARAMS, STDIN) and content and not self._budget.can_reserve(len(content)):
-                taking.no_room = True
-            elif kind == PARAMS:
-                yield from self._params(ident, taking, content)
-            elif kind == STDIN and content:
-                if len(taking.body) + len(content) > MOST_BODY:
-                    yield self._ill(ident, "the body is too long")
-                else:
-                    taking.body += content
-                    self._budget.reserve(len(content))
-            elif kind == STDIN:
-                self._taken(ident)
-                if taking.no_room:
-                    yield self._turn_away(ident, OVERLOADED)
-                else:
-                    yield self._whole(ident, taking)
-
-    def _taken(self, ident: int) -> None:
-        """The request comes in no more."""
-        self._budget.release(self._taking.pop(ident).size())
-
-    def _ill(self, ident: int, why: str) -> Arrived:
-        """A request is answered before it is whole; the rest of it is passed over.
-
-        Guards against taking in 60 MB, or what never ends, in order to say no.
-        """
-        self._taken(ident)
-        return Arrived(ident, {}, b"", why)
-
-    def _turn_away(self, ident: int, status: int) -> Reply:
-        self.open.discard(ident)
-        self.turned_away += 1
-        return Reply(end_record(ident, status))
-
-    def overdue(self, before: float) -> Iterator[Arrived]:
-        """The requests that began to come in before then and still do, ended."""
-        for ident in [ident for ident, taking in self._taking.items() if taking.since < before]:
-            yield self._ill(ident, "not whole in time")
+            yield from self._on_record(record_type, ident, content)
 
-    def close(self) -> None:
-        """Nothing more comes in."""
-        for ident in list(self._taking):
-            self._taken(ident)
+    def expire_partial(self, started_before: float) -> Iterator[RequestComplete]:
+        """Ends the partial requests that began before this time (ms on the clock)."""
+        for ident in [
+            ident for ident, partial in self._partial_requests.items() if partial.started_at < started_before
+        ]:
+            yield self._reject_invalid(ident, RequestError.INCOMPLETE_IN_TIME)
 
-    def _begin(self, ident: int, content: bytes) -> Iterator[Reply]:
+    def close(self) -> None:
+        """Releases the memory of partial requests; no more input follows."""
+        for ident in list(self._partial_requests):
+            self._discard_partial(ident)
+
+    def _on_record(self, record_type: int, ident: int, content: bytes) -> Iterator[DecoderEvent]:
+        if record_type == RecordType.GET_VALUES:
+            yield RecordReply(_values_result(content))
+        elif not ident or record_type > RecordType.GET_VALUES_RESULT:
+            yield RecordReply(record(RecordType.UNKNOWN_TYPE, 0, _UNKNOWN_TYPE.pack(record_type)))
+        elif record_type == RecordType.BEGIN_REQUEST:
+            yield from self._on_begin(ident, content)
+        elif record_type == RecordType.ABORT_REQUEST:
+            yield from self._on_abort(ident)
+        elif partial := self._partial_requests.get(ident):  # FastCGI 1.0 has records of unknown ids ignored
+            if record_type == RecordType.PARAMS:
+                yield from self._on_params(ident, partial, content)
+            elif record_type == RecordType.STDIN:
+                yield from self._on_stdin(ident, partial, content)
+
+    def _on_begin(self, ident: int, content: bytes) -> Iterator[RecordReply]:
         if len(content) < _BEGIN.size:
             raise FastCgiError("BEGIN_REQUEST is cut short")
-        if ident in self.open:
+        if ident in self.open_ids:
             raise FastCgiError(f"id {ident} is open already")
         role, flags = _BEGIN.unpack_from(content)
-        self.keep = bool(flags & KEEP_CONN)
+        self.keep_connection = bool(flags & KEEP_CONN)
         if role != RESPONDER:
-            yield self._turn_away(ident, UNKNOWN_ROLE)
-        elif len(self.open) >= MOST_OPEN:
-            yield self._turn_away(ident, OVERLOADED)
+            yield self._reject(ident, ProtocolStatus.UNKNOWN_ROLE)
+        elif len(self.open_ids) >= MAX_OPEN_REQUESTS:
+            yield self._reject(ident, ProtocolStatus.OVERLOADED)
         else:
-            self.open.add(ident)
-            self._taking[ident] = _Taking(self._clock())
-
-    def taken(self) -> int:
-        """How many requests have come in whole and are not answered."""
-        return len(self.open) - len(self._taking)
+            self.open_ids.add(ident)
+            self._partial_requests[ident] = _PartialRequest(self._clock())
+
+    def _on_abort(self, ident: int) -> Iterator[RequestAborted | RecordReply]:
+        if ident not in self.open_ids:
+            return
+        if ident not in self._partial_requests:
+            yield RequestAborted(ident)
+        else:
+            self._discard_partial(ident)
+            self.open_ids.discard(ident)
+            yield RecordReply(end_record(ident, ProtocolStatus.COMPLETE, _ABORTED_APP_STATUS))
 
-    def coming(self) -> int:
-        """How many requests have begun to come in and are not whole."""
-        return len(self._taking)
+    def _on_params(self, ident: int, partial: _PartialRequest, content: bytes) -> Iterator[RequestComplete]:
+        if not content:
+            partial.params_complete = True
+        elif not self._budget.can_reserve(len(content)):
+            partial.over_budget = True
+        elif partial.params_complete or len(partial.params) + len(content) > MAX_PARAMS_SIZE:
+            yield self._reject_invalid(ident, RequestError.PARAMS_TOO_LONG)
+        else:
+            partial.params += content
+            self._budget.reserve(len(content))
 
-    def _params(self, ident: int, taking: _Taking, content: bytes) -> Iterator[Arrived]:
+    def _on_stdin(
+        self, ident: int, partial: _PartialRequest, content: bytes
+    ) -> Iterator[RequestComplete | RecordReply]:
         if not content:
-            taking.params_done = True
-        elif taking.params_done or len(taking.params) + len(content) > MOST_PARAMS:
-            yield self._ill(ident, "the parameters are too long")
+            yield self._on_end_of_body(ident, partial)
+        elif not self._budget.can_reserve(len(content)):
+            partial.over_budget = True
+        elif len(partial.body) + len(content) > MAX_BODY_SIZE:
+            yield self._reject_invalid(ident, RequestError.BODY_TOO_LONG)
         else:
-            taking.params += content
+            partial.body += content
             self._budget.reserve(len(content))
 
-    @staticmethod
-    def _whole(ident: int, taking: _Taking) -> Arrived:
+    def _on_end_of_body(self, ident: int, partial: _PartialRequest) -> RequestComplete | RecordReply:
+        self._discard_partial(ident)
+        if partial.over_budget:
+            return self._reject(ident, ProtocolStatus.OVERLOADED)
         try:
-            return Arrived(ident, pairs(bytes(taking.params)), bytes(taking.body), "")
+            params = parse_pairs(bytes(partial.params))
         except ValueError as error:
-            return Arrived(ident, {}, b"", f"parameters: {error}")
+            invalid = InvalidRequest(RequestError.MALFORMED_PARAMS, str(error))
+            return RequestComplete(ident, {}, b"", invalid)
+        return RequestComplete(ident, params, bytes(partial.body), None)
+
+    def _reject_invalid(self, ident: int, error: RequestError) -> RequestComplete:
+        """Ends a partial request with an error; the records that still come for it are ignored."""
+        self._discard_partial(ident)
+        return RequestComplete(ident, {}, b"", InvalidRequest(error))
+
+    def _reject(self, ident: int, status: ProtocolStatus) -> RecordReply:
+        self.open_ids.discard(ident)
+        self.rejected_in_a_row += 1
+        return RecordReply(end_record(ident, status))
+
+    def _discard_partial(self, ident: int) -> None:
+        """Takes a request off the partial ones and releases its memory."""
+        self._budget.release(self._partial_requests.pop(ident).size())
--- a/edge_router/protocol/resp.py
+++ b/edge_router/protocol/resp.py
@@ -1,4 +1,4 @@
-"""RESP: arrays of bulk strings; a codec that knows no I/O."""
+"""RESP, as far as the caches speak it (arrays of bulk strings): a codec without I/O."""
 
 from __future__ import annotations
 
@@ -7,89 +7,90 @@
 
 from edge_router.protocol.buffer import ReceiveBuffer
 
-MOST_ITEMS = 16
-MOST_BULK = 1 << 18
-MOST_LINE = 32
+MAX_ITEMS = 16  # in one array
+MAX_BULK_SIZE = 1 << 18  # bytes
+MAX_LINE_SIZE = 32  # bytes of a length line
 
-
-_FIELD = rb"[a-z0-9_]+=[!-+\--~]*"  # what can be printed, without blanks and commas
-_FIELDS = re.compile(_FIELD + b"(," + _FIELD + b")*")
+_LINE_END = b"\r\n"
+_FIELD_PATTERN = rb"[a-z0-9_]+=[!-+\--~]*"  # printable ASCII without blanks and commas
+_FIELD_LIST = re.compile(_FIELD_PATTERN + b"(," + _FIELD_PATTERN + b")*")
 
 
 class RespError(Exception):
-    """Bytes that are no array of bulk strings."""
+    """Bytes that are not an array of bulk strings, or a bulk string that is not a field list."""
 
 
 def encode(*items: bytes) -> bytes:
     """One array of bulk strings."""
-    parts = [b"*%d\r\n" % len(items)]
-    for item in items:
-        parts.append(b"$%d\r\n%b\r\n" % (len(item), item))
-    return b"".join(parts)
+    return b"*%d\r\n" % len(items) + b"".join([b"$%d\r\n%b\r\n" % (len(item), item) for item in items])
 
 
-class Decoder:
-    """Arrays out of a buffer, however the bytes were split."""
+class RespDecoder:
+    """Decodes the arrays of one connection, however the bytes were split into reads."""
 
     def __init__(self) -> None:
         self._items: list[bytes] = []
-        self._left = 0
-        self._bulk = -1
+        self._missing_items = 0
+        self._bulk_size: int | None = None  # of the partial item, once its length line was read
 
-    def wanted(self, held: int) -> int:
-        """How many more bytes the item under way needs, so that a long one is read in few steps."""
-        return max(0, self._bulk + 2 - held) if self._bulk >= 0 else 0
+    def missing_bytes(self, unread: int) -> int:
+        """How many bytes the partial item needs beyond those unread, so that a long one takes few reads."""
+        return 0 if self._bulk_size is None else max(0, self._bulk_size + len(_LINE_END) - unread)
 
-    def midway(self) -> bool:
-        """Whether an array has begun and is not whole."""
-        return self._left > 0
+    def is_partial(self) -> bool:
+        """Whether an array has begun and is not complete."""
+        return self._missing_items > 0
 
     @staticmethod
-    def _number(buffer: ReceiveBuffer, sign: bytes, least: int, most: int) -> int | None:
-        """The number of a line like `*4` or `$16`; None if the line is not whole yet."""
-        end = buffer.find(b"\r\n", MOST_LINE)
+    def _read_length(buffer: ReceiveBuffer, prefix: bytes, minimum: int, maximum: int) -> int | None:
+        """Consumes a line like `*4` or `$16` and returns its number; None if the line is not complete yet.
+
+        Raises RespError if the line has another prefix or a number out of bounds.
+        """
+        end = buffer.find(_LINE_END, MAX_LINE_SIZE)
         if end < 0:
-            if len(buffer) >= MOST_LINE:
+            if len(buffer) >= MAX_LINE_SIZE:
                 raise RespError("a length line does not end")
             return None
-        line = buffer.read(end + 2)[:-2]
-        if line[:1] != sign or not line[1:].isdigit() or not least <= int(line[1:]) <= most:
+        line = buffer.read(end)
+        buffer.skip(len(_LINE_END))
+        if line[:1] != prefix or not line[1:].isdigit() or not minimum <= int(line[1:]) <= maximum:
             raise RespError(f"a length line reads {line!r}")
         return int(line[1:])
 
-    def arrays(self, buffer: ReceiveBuffer) -> Iterator[list[bytes]]:
-        """All arrays that are whole."""
+    def decode_arrays(self, buffer: ReceiveBuffer) -> Iterator[list[bytes]]:
+        """Consumes the complete arrays of the buffer; raises RespError if the bytes are none."""
         while True:
-            if not self._left:
-                count = self._number(buffer, b"*", 1, MOST_ITEMS)
+            if not self._missing_items:
+                count = self._read_length(buffer, b"*", 1, MAX_ITEMS)
                 if count is None:
                     return
-                self._left, self._items = count, []
-            elif self._bulk < 0:
-                size = self._number(buffer, b"$", 0, MOST_BULK)
+                self._missing_items, self._items = count, []
+            elif self._bulk_size is None:
+                size = self._read_length(buffer, b"$", 0, MAX_BULK_SIZE)
                 if size is None:
                     return
-                self._bulk = size
+                self._bulk_size = size
             else:
-                if len(buffer) < self._bulk + 2:
+                if len(buffer) < self._bulk_size + len(_LINE_END):
                     return
-                self._items.append(buffer.read(self._bulk))
-                if buffer.read(2) != b"\r\n":
+                self._items.append(buffer.read(self._bulk_size))
+                if buffer.read(len(_LINE_END)) != _LINE_END:
                     raise RespError("a bulk string is longer than its length")
-                self._left, self._bulk = self._left - 1, -1
-                if not self._left:
+                self._missing_items, self._bulk_size = self._missing_items - 1, None
+                if not self._missing_items:
                     yield self._items
 
 
-def words(fields: Sequence[tuple[str, str]]) -> bytes:
-    """The text of a field list; `-` for none."""
+def encode_fields(fields: Sequence[tuple[str, str]]) -> bytes:
+    """Encodes a field list as `name=value,...`; `-` if it is empty."""
     return ",".join(f"{name}={value}" for name, value in fields).encode() or b"-"
 
 
-def fields_of(text: bytes) -> dict[str, str]:
-    """A field list as a table; raises RespError if it is none."""
+def parse_fields(text: bytes) -> dict[str, str]:
+    """Parses a field list as encode_fields writes it; raises RespError if it is malformed."""
     if text == b"-":
         return {}
-    if not _FIELDS.fullmatch(text):
+    if not _FIELD_LIST.fullmatch(text):
         raise RespError(f"fields read {text[:40]!r}")
     return dict(pair.split("=", 1) for pair in text.decode("ascii").split(","))
--- a/edge_router/proxy/dispatcher.py
+++ b/edge_router/proxy/dispatcher.py
@@ -171,7 +171,7 @@
         if len(array) != RESPONSE_PARTS:
             raise resp.RespError(f"an answer of {len(array)} parts")
         request_id = array[0].decode("latin-1")
-        response = CacheResponse(array[1].decode("latin-1"), resp.fields_of(array[2]), array[3])
+        response = CacheResponse(array[1].decode("latin-1"), resp.parse_fields(array[2]), array[3])
         attempt = connection.attempts.get(request_id)
         if attempt is None or attempt.sent_at is None:
             if request_id in connection.abandoned_ids:
--- a/edge_router/proxy/fastcgi_frontend.py
+++ b/edge_router/proxy/fastcgi_frontend.py
@@ -7,7 +7,7 @@
 from http import HTTPStatus
 
 from edge_router.decision.settings import Settings
-from edge_router.protocol.fastcgi import COMPLETE
+from edge_router.protocol.fastcgi import InvalidRequest, ProtocolStatus, RequestError
 from edge_router.proxy.messages import BadRequestError, FinalResponse, ResponseStatus
 from edge_router.proxy.request_parser import RequestParser
 from edge_router.proxy.request_router import RequestRouter
@@ -33,6 +33,12 @@
     HTTPStatus.REQUEST_TIMEOUT: "408 Request Timeout",
     HTTPStatus.REQUEST_ENTITY_TOO_LARGE: "413 Content Too Large",
 }
+_INVALID_REQUEST_STATUSES = {
+    RequestError.PARAMS_TOO_LONG: HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
+    RequestError.BODY_TOO_LONG: HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
+    RequestError.INCOMPLETE_IN_TIME: HTTPStatus.REQUEST_TIMEOUT,
+    RequestError.MALFORMED_PARAMS: HTTPStatus.BAD_REQUEST,
+}
 
 
 def _encode_head(status_line: str, fields: Mapping[str, object]) -> bytes:
@@ -79,16 +85,21 @@
         self.ready = False  # whether READY_PATH is answered with status 200
 
     def on_request(
-        self, connection: ClientSession, ident: int, params: dict[str, str], body: bytes, bad: str
+        self,
+        connection: ClientSession,
+        ident: int,
+        params: dict[str, str],
+        body: bytes,
+        invalid: InvalidRequest | None,
     ) -> bool:
         """Handles a request, complete or refused by the decoder; False if it is answered as invalid."""
         path = params.get("SCRIPT_NAME", "") + params.get("PATH_INFO", "")
-        if path == READY_PATH and not bad:
+        if path == READY_PATH and invalid is None:
             connection.send_response(ident, _encode_head(_SERVED if self.ready else _UNAVAILABLE, {}), b"")
             return True
         try:
-            if bad:
-                raise BadRequestError(413 if "too long" in bad else 408 if "in time" in bad else 400, bad)
+            if invalid is not None:
+                raise BadRequestError(_INVALID_REQUEST_STATUSES[invalid.error], str(invalid))
             if params.get("CONTENT_LENGTH", "") not in ("", str(len(body))):
                 raise BadRequestError(HTTPStatus.BAD_REQUEST, "CONTENT_LENGTH is not that of the body")
             respond = partial(self._respond, connection, ident)
@@ -116,7 +127,7 @@
         request = self._open.pop((connection, ident), None)
         if request is not None:
             self._router.on_client_disconnected(request)
-            connection.end_request(ident, COMPLETE)
+            connection.end_request(ident, ProtocolStatus.COMPLETE)
 
     def on_disconnected(self, connection: ClientSession, ident: int) -> None:
         """The client has closed its side: no further attempt is sent, but it may still read a response."""
--- a/edge_router/proxy/fetch_command.py
+++ b/edge_router/proxy/fetch_command.py
@@ -41,7 +41,7 @@
         fields.append(("mode", mode))
     if incoming.client_etag:
         fields.append(("seen", incoming.client_etag))
-    return resp.encode(b"fetch", incoming.request_id.encode(), resp.words(fields), incoming.body)
+    return resp.encode(b"fetch", incoming.request_id.encode(), resp.encode_fields(fields), incoming.body)
 
 
 @dataclass(slots=True, eq=False)
--- a/edge_router/transport/client_connection.py
+++ b/edge_router/transport/client_connection.py
@@ -86,7 +86,7 @@
             finally:
                 self._wrote = True  # it is too late to start it
                 self.on_closed()
-            if self._leaving or not self._decoder.keep:
+            if self._leaving or not self._decoder.keep_connection:
                 await self._linger()
         return "the client takes in nothing" if self._broken else why
 
--- a/edge_router/transport/client_session.py
+++ b/edge_router/transport/client_session.py
@@ -13,13 +13,13 @@
 
 from edge_router.protocol.buffer import ReceiveBuffer
 from edge_router.protocol.fastcgi import (
-    COMPLETE,
-    OVERLOADED,
-    Aborted,
-    Arrived,
-    Decoder,
-    answer_records,
+    FastCgiDecoder,
+    InvalidRequest,
+    ProtocolStatus,
+    RequestAborted,
+    RequestComplete,
     end_record,
+    response_records,
 )
 from edge_router.runtime.memory_budget import MemoryBudget
 from edge_router.runtime.system_errors import is_local_shortage
@@ -36,7 +36,12 @@
     """Who takes the requests of all connections."""
 
     def on_request(
-        self, connection: ClientSession, ident: int, params: dict[str, str], body: bytes, bad: str
+        self,
+        connection: ClientSession,
+        ident: int,
+        params: dict[str, str],
+        body: bytes,
+        invalid: InvalidRequest | None,
     ) -> bool:
         """A request has come in, or is ended for what is bad with it; exactly one answer or an end is owed.
 
@@ -60,7 +65,7 @@
         self._handler = handler
         self._clock = clock
         self._budget = budget
-        self._decoder = Decoder(budget, clock)
+        self._decoder = FastCgiDecoder(budget, clock)
         self._buffer = ReceiveBuffer(MOST_UNREAD)
         self._leaving = ""  # why the connection ends once all that is open on it is answered
         self._partial_since = clock()  # when a record began to come in that is not whole; 0: there is none
@@ -97,12 +102,12 @@
         self.silent = False
         now = self.last_used = self._clock()
         held = len(self._buffer)
-        for event in self._decoder.events(self._buffer):
-            if isinstance(event, Arrived) and self._leaving:
+        for event in self._decoder.decode_events(self._buffer):
+            if isinstance(event, RequestComplete) and self._leaving:
                 self._turn_away(event.ident)
-            elif isinstance(event, Arrived):
+            elif isinstance(event, RequestComplete):
                 self._request(event)
-            elif isinstance(event, Aborted):
+            elif isinstance(event, RequestAborted):
                 self._handler.on_aborted(self, event.ident)
             else:
                 self._owe(event.data)
@@ -110,7 +115,7 @@
             self._partial_since = 0.0
         elif len(self._buffer) < held or not self._partial_since:
             self._partial_since = now
-        if self._decoder.turned_away > MOST_TURNED_AWAY:
+        if self._decoder.rejected_in_a_row > MOST_TURNED_AWAY:
             self._leave("turned away too often")
 
     def on_writable(self) -> None:
@@ -127,18 +132,18 @@
 
     def _left(self) -> None:
         """The client sends no more."""
-        for ident in sorted(self._decoder.open):
+        for ident in sorted(self._decoder.open_ids):
             self._handler.on_disconnected(self, ident)
 
     # -- for those who use it --
 
     def is_quiet(self) -> bool:
         """Whether no request that came in whole is open, and nothing waits to be written."""
-        return not (self._decoder.taken() or self._urgent or self._answers or self._rest)
+        return not (self._decoder.complete_count() or self._urgent or self._answers or self._rest)
 
     def is_idle(self) -> bool:
         """Whether it is quiet and nothing is coming in either."""
-        return self.is_quiet() and not self._decoder.coming() and not self._partial_since
+        return self.is_quiet() and not self._decoder.partial_count() and not self._partial_since
 
     def check_timeouts(self, now: float) -> None:
         """Ends what has been coming in for too long.
@@ -151,7 +156,7 @@
             and not (self.silent and self._unread())
         ):
             self._leave("says nothing" if self.silent else "a record is not whole in time")
-        for event in self._decoder.overdue(now - TAKE_IN):
+        for event in self._decoder.expire_partial(now - TAKE_IN):
             self._handler.on_request(self, *event)
 
     def _leave(self, why: str) -> None:
@@ -184,12 +189,12 @@
 
     def _turn_away(self, ident: int) -> None:
         """Refuses a request that comes while the connection is being ended."""
-        self._decoder.open.discard(ident)
-        self._owe(end_record(ident, OVERLOADED))
+        self._decoder.open_ids.discard(ident)
+        self._owe(end_record(ident, ProtocolStatus.OVERLOADED))
 
     def send_response(self, ident: int, head: bytes, body: bytes) -> None:
         """Queues the whole answer to a request."""
-        records = answer_records(ident, head, body)
+        records = response_records(ident, head, body)
         size = sum(map(len, records))
         self._unsent += size
         self._budget.reserve(size)
@@ -198,8 +203,8 @@
 
     def end_request(self, ident: int, status: int) -> None:
         """Ends a request without an answer."""
-        self._decoder.open.discard(ident)
-        self._owe(end_record(ident, status, 1 if status == COMPLETE else 0))
+        self._decoder.open_ids.discard(ident)
+        self._owe(end_record(ident, status, 1 if status == ProtocolStatus.COMPLETE else 0))
 
     def _owe(self, data: bytes) -> None:
         """Guards against a client that asks on and on and reads nothing."""
@@ -209,13 +214,13 @@
         self._urgent.append(data)
         self._pump()
 
-    def _request(self, event: Arrived) -> None:
+    def _request(self, event: RequestComplete) -> None:
         """Hands a request on. Guards against one that is sent again whenever it is turned away."""
         self.time_unread = self._unread_most if len(self._buffer) else self._unread_last
         if self._handler.on_request(self, *event):
-            self._decoder.turned_away = 0
+            self._decoder.rejected_in_a_row = 0
         else:
-            self._decoder.turned_away += 1
+            self._decoder.rejected_in_a_row += 1
 
     def _gulp(self) -> bytes:
         """The next bytes to write: what the protocol owes first, then one record of each answer by turns."""
@@ -232,7 +237,8 @@
                 if records:
                     self._answers.append((ident, records))
                 else:
-                    self._decoder.open.discard(ident)  # before the client sees the end and uses the id again
+                    # before the client sees the end and uses the id again
+                    self._decoder.open_ids.discard(ident)
             parts.append(part)
             size += len(part)
         return b"".join(parts)
@@ -241,7 +247,11 @@
         """Writes until the socket takes no more; once all is written and no more is owed, ends the rest."""
         while not self._full:
             if not self._rest and not (data := self._gulp()):
-                left = self._decoder.taken() if self._leaving else self._decoder.keep or self._decoder.open
+                left = (
+                    self._decoder.complete_count()
+                    if self._leaving
+                    else self._decoder.keep_connection or self._decoder.open_ids
+                )
                 if not left:
                     self._stop_writing()
                     self._stop_reading()
--- a/edge_router/transport/upstream_channel.py
+++ b/edge_router/transport/upstream_channel.py
@@ -12,7 +12,7 @@
 from typing import Protocol
 
 from edge_router.protocol.buffer import ReceiveBuffer
-from edge_router.protocol.resp import MOST_BULK, Decoder
+from edge_router.protocol.resp import MAX_BULK_SIZE, RespDecoder
 from edge_router.runtime.system_errors import is_local_shortage
 
 
@@ -61,8 +61,8 @@
         self._pumping = False
         self._full = False  # the socket takes no more
         self._why = "closed by us"
-        self.buffer = ReceiveBuffer(MOST_BULK + 4096)
-        self.decoder = Decoder()
+        self.buffer = ReceiveBuffer(MAX_BULK_SIZE + 4096)
+        self.decoder = RespDecoder()
         self.local_shortage = False  # there was no descriptor for it
         self.connected = False  # somebody was there: it came up or was reset, whatever became of it
         self.closed = False
@@ -101,9 +101,9 @@
 
     def on_received(self) -> None:
         """More bytes are in the buffer; raises RespError if they can't be read."""
-        for array in self.decoder.arrays(self.buffer):
+        for array in self.decoder.decode_arrays(self.buffer):
             self._owner.on_message(self, array)
-        self.partial_since = self._clock() if self.decoder.midway() or len(self.buffer) else 0.0
+        self.partial_since = self._clock() if self.decoder.is_partial() or len(self.buffer) else 0.0
 
     def on_writable(self) -> None:
         """The socket takes more again."""
--- a/edge_router/transport/upstream_connection.py
+++ b/edge_router/transport/upstream_connection.py
@@ -82,7 +82,7 @@
         try:
             while True:
                 await trio.lowlevel.wait_readable(self._sock)
-                with buffer.writable_view(max(4096, decoder.wanted(len(buffer)))) as view:
+                with buffer.writable_view(max(4096, decoder.missing_bytes(len(buffer)))) as view:
                     try:
                         count = self._sock.recv_into(view)
                     except BlockingIOError:
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -24,6 +24,7 @@
 from waiting import TEST_TIMEOUT
 
 from edge_router.discovery.change_log_watcher import ChangeLogWatcher
+from edge_router.protocol.fastcgi import InvalidRequest
 from edge_router.proxy.request_router import RequestRouter
 from edge_router.runtime.clock import Clock
 from edge_router.runtime.event_log import set_sink
@@ -61,7 +62,12 @@
         self.came = trio.Event()
 
     def on_request(
-        self, connection: ClientSession, ident: int, params: dict[str, str], body: bytes, bad: str
+        self,
+        connection: ClientSession,
+        ident: int,
+        params: dict[str, str],
+        body: bytes,
+        invalid: InvalidRequest | None,
     ) -> bool:
         self.asked += 1
         self.came.set()
--- a/tests/test_request_validation.py
+++ b/tests/test_request_validation.py
@@ -9,7 +9,7 @@
 from fastcgi_client import PARAMS, STDIN, fastcgi_record
 from router_harness import RouterHarness
 
-from edge_router.protocol.fastcgi import OVERLOADED
+from edge_router.protocol.fastcgi import ProtocolStatus
 from edge_router.transport.client_session import MOST_TURNED_AWAY
 
 
@@ -110,7 +110,7 @@
         (response.status, response.protocol_status) for response in responses if response.body != b"first"
     ]
     rejected = ends.count((404, 0))
-    assert ends == [(404, 0)] * rejected + [(0, OVERLOADED)] * (len(ends) - rejected)
+    assert ends == [(404, 0)] * rejected + [(0, ProtocolStatus.OVERLOADED)] * (len(ends) - rejected)
     if interval:
         assert (rejected, len(ends)) == (MOST_TURNED_AWAY + 1, 23)
     assert rejected > MOST_TURNED_AWAY
