--- a/edge_router/model_checker/fingerprint/transport.py
+++ b/edge_router/model_checker/fingerprint/transport.py
@@ -9,7 +9,7 @@
 from edge_router.model_checker.fingerprint.common import REPORTED, WIRING, Fields, Frame, Ledger
 from edge_router.model_checker.fingerprint.proxy import encode_command
 from edge_router.protocol import fastcgi
-from edge_router.protocol.resp import Decoder
+from edge_router.protocol.resp import RespDecoder
 from edge_router.proxy import request_table
 from edge_router.runtime.timers import Timers
 from edge_router.transport.client_session import ClientSession
@@ -38,7 +38,7 @@
             "_close_reason": REPORTED,
         },
     ),
-    Decoder: Fields("_items _left _bulk", {}),
+    RespDecoder: Fields("_items _missing_items _bulk_size", {}),
     ClientSession: Fields(
         "_decoder _buffer _close_reason _partial_since silent _control_records _responses _unsent_bytes "
         "_partial_write _write_blocked _client_stalled closing finished",
@@ -54,7 +54,9 @@
             "_last_unread_time": "bytes are read as soon as they arrive here",
         },
     ),
-    fastcgi.Decoder: Fields("_taking open turned_away keep", {"_budget": WIRING, "_clock": WIRING}),
+    fastcgi.FastCgiDecoder: Fields(
+        "_partial_requests open_ids rejected_in_a_row keep_connection", {"_budget": WIRING, "_clock": WIRING}
+    ),
 }
 
 
@@ -67,8 +69,8 @@
         channel._write_blocked,
         bytes(buffer._data[buffer._start : buffer._end]),
         tuple(decoder._items),
-        decoder._left,
-        decoder._bulk,
+        decoder._missing_items,
+        decoder._bulk_size,
         channel.local_shortage,
         channel.connected,
         channel.closed,
@@ -80,10 +82,10 @@
     """A client connection: its decoder, its buffers and what it still owes."""
     decoder = session._decoder
     return (
-        tuple(sorted(decoder.open)),
-        tuple(sorted(decoder._taking)),
-        decoder.turned_away,
-        decoder.keep,
+        tuple(sorted(decoder.open_ids)),
+        tuple(sorted(decoder._partial_requests)),
+        decoder.rejected_in_a_row,
+        decoder.keep_connection,
         len(session._buffer),
         str(session._close_reason or ""),
         frame.time(session._partial_since or 0.0),
--- a/edge_router/transport/client_connection.py
+++ b/edge_router/transport/client_connection.py
@@ -92,7 +92,7 @@
             finally:
                 self._writer_started = True  # no writing task can be started any more
                 self.on_closed()
-            if self._close_reason or not self._decoder.keep:
+            if self._close_reason or not self._decoder.keep_connection:
                 await self._linger()
         return CloseReason.WRITE_TIMEOUT if self._client_stalled else reason
 
--- a/edge_router/transport/client_session.py
+++ b/edge_router/transport/client_session.py
@@ -13,13 +13,13 @@
 
 from edge_router.protocol.buffer import ReceiveBuffer
 from edge_router.protocol.fastcgi import (
-    COMPLETE,
-    OVERLOADED,
-    Aborted,
-    Arrived,
-    Decoder,
-    answer_records,
+    FastCgiDecoder,
+    InvalidRequest,
+    ProtocolStatus,
+    RequestAborted,
+    RequestComplete,
     end_record,
+    response_records,
 )
 from edge_router.runtime.memory_budget import MemoryBudget
 from edge_router.runtime.system_errors import is_local_shortage
@@ -37,9 +37,14 @@
     """Receives the requests of all client connections."""
 
     def on_request(
-        self, connection: ClientSession, request_id: int, params: dict[str, str], body: bytes, bad: str
+        self,
+        connection: ClientSession,
+        request_id: int,
+        params: dict[str, str],
+        body: bytes,
+        invalid: InvalidRequest | None,
     ) -> bool:
-        """A request is complete, or `bad` says what is wrong with it; needs one response or end record.
+        """A request is complete, or `invalid` says what is wrong with it; needs one response or end record.
 
         Returns whether the request was acceptable.
         """
@@ -61,7 +66,7 @@
         self._handler = handler
         self._clock = clock
         self._budget = budget
-        self._decoder = Decoder(budget, clock)
+        self._decoder = FastCgiDecoder(budget, clock)
         self._buffer = ReceiveBuffer(MAX_BUFFERED_BYTES)
         self._close_reason: CloseReason | str | None = None  # set once it takes no more requests
         self._partial_since: float | None = clock()  # when the record began that is not complete
@@ -98,12 +103,12 @@
         self.silent = False
         now = self.last_used = self._clock()
         buffered_before = len(self._buffer)
-        for event in self._decoder.events(self._buffer):
-            if isinstance(event, Arrived) and self._close_reason:
+        for event in self._decoder.decode_events(self._buffer):
+            if isinstance(event, RequestComplete) and self._close_reason:
                 self._reject(event.ident)
-            elif isinstance(event, Arrived):
+            elif isinstance(event, RequestComplete):
                 self._dispatch_request(event)
-            elif isinstance(event, Aborted):
+            elif isinstance(event, RequestAborted):
                 self._handler.on_aborted(self, event.ident)
             else:
                 self._send_control_record(event.data)
@@ -111,7 +116,7 @@
             self._partial_since = None
         elif len(self._buffer) < buffered_before or self._partial_since is None:
             self._partial_since = now
-        if self._decoder.turned_away > MAX_CONSECUTIVE_REJECTIONS:
+        if self._decoder.rejected_in_a_row > MAX_CONSECUTIVE_REJECTIONS:
             self._start_closing(CloseReason.TOO_MANY_REJECTED)
 
     def on_writable(self) -> None:
@@ -128,18 +133,20 @@
 
     def _notify_disconnected(self) -> None:
         """Reports the disconnection to the handler, for each open request."""
-        for request_id in sorted(self._decoder.open):
+        for request_id in sorted(self._decoder.open_ids):
             self._handler.on_disconnected(self, request_id)
 
     # -- public interface --
 
     def is_quiet(self) -> bool:
         """Whether no complete request is open, and nothing waits to be written."""
-        return not (self._decoder.taken() or self._control_records or self._responses or self._partial_write)
+        return not (
+            self._decoder.complete_count() or self._control_records or self._responses or self._partial_write
+        )
 
     def is_idle(self) -> bool:
         """Whether it is quiet and no incomplete request or record was received either."""
-        return self.is_quiet() and not self._decoder.coming() and self._partial_since is None
+        return self.is_quiet() and not self._decoder.partial_count() and self._partial_since is None
 
     def check_timeouts(self, now: float) -> None:
         """Ends requests and connections that are incomplete for `RECEIVE_TIMEOUT`; `now` in milliseconds.
@@ -154,7 +161,7 @@
             self._start_closing(
                 CloseReason.NOTHING_RECEIVED if self.silent else CloseReason.INCOMPLETE_RECORD
             )
-        for event in self._decoder.overdue(now - RECEIVE_TIMEOUT):
+        for event in self._decoder.expire_partial(now - RECEIVE_TIMEOUT):
             self._handler.on_request(self, *event)
 
     def _start_closing(self, reason: CloseReason | str) -> None:
@@ -187,12 +194,12 @@
 
     def _reject(self, request_id: int) -> None:
         """Rejects a request that arrives while the connection is being closed."""
-        self._decoder.open.discard(request_id)
-        self._send_control_record(end_record(request_id, OVERLOADED))
+        self._decoder.open_ids.discard(request_id)
+        self._send_control_record(end_record(request_id, ProtocolStatus.OVERLOADED))
 
     def send_response(self, request_id: int, head: bytes, body: bytes) -> None:
         """Queues the complete response to a request."""
-        records = answer_records(request_id, head, body)
+        records = response_records(request_id, head, body)
         size = sum(map(len, records))
         self._unsent_bytes += size
         self._budget.reserve(size)
@@ -201,8 +208,10 @@
 
     def end_request(self, request_id: int, status: int) -> None:
         """Ends a request without a response."""
-        self._decoder.open.discard(request_id)
-        self._send_control_record(end_record(request_id, status, 1 if status == COMPLETE else 0))
+        self._decoder.open_ids.discard(request_id)
+        self._send_control_record(
+            end_record(request_id, status, 1 if status == ProtocolStatus.COMPLETE else 0)
+        )
 
     def _send_control_record(self, data: bytes) -> None:
         """Queues a management or end record.
@@ -215,13 +224,13 @@
         self._control_records.append(data)
         self._pump()
 
-    def _dispatch_request(self, event: Arrived) -> None:
+    def _dispatch_request(self, event: RequestComplete) -> None:
         """Passes a request to the handler, and counts rejections in a row, as some clients resend at once."""
         self.time_unread = self._max_unread_time if len(self._buffer) else self._last_unread_time
         if self._handler.on_request(self, *event):
-            self._decoder.turned_away = 0
+            self._decoder.rejected_in_a_row = 0
         else:
-            self._decoder.turned_away += 1
+            self._decoder.rejected_in_a_row += 1
 
     def _next_write(self) -> bytes:
         """Returns the next bytes to write: control records, then one record of each response in turn."""
@@ -238,7 +247,7 @@
                 if records:
                     self._responses.append((request_id, records))
                 else:
-                    self._decoder.open.discard(request_id)  # before the client can reuse the id
+                    self._decoder.open_ids.discard(request_id)  # before the client can reuse the id
             parts.append(part)
             size += len(part)
         return b"".join(parts)
@@ -248,7 +257,9 @@
         while not self._write_blocked:
             if not self._partial_write and not (data := self._next_write()):
                 keep_open = (
-                    self._decoder.taken() if self._close_reason else self._decoder.keep or self._decoder.open
+                    self._decoder.complete_count()
+                    if self._close_reason
+                    else self._decoder.keep_connection or self._decoder.open_ids
                 )
                 if not keep_open:
                     self._stop_writing()
--- a/edge_router/transport/upstream_channel.py
+++ b/edge_router/transport/upstream_channel.py
@@ -12,7 +12,7 @@
 from typing import Protocol
 
 from edge_router.protocol.buffer import ReceiveBuffer
-from edge_router.protocol.resp import MOST_BULK, Decoder
+from edge_router.protocol.resp import MAX_BULK_SIZE, RespDecoder
 from edge_router.runtime.system_errors import is_local_shortage
 from edge_router.transport.close_reason import CloseReason
 
@@ -62,8 +62,8 @@
         self._pumping = False
         self._write_blocked = False  # until `on_writable`
         self._close_reason: CloseReason | str = CloseReason.CLOSED_LOCALLY
-        self.buffer = ReceiveBuffer(MOST_BULK + 4096)
-        self.decoder = Decoder()
+        self.buffer = ReceiveBuffer(MAX_BULK_SIZE + 4096)
+        self.decoder = RespDecoder()
         self.local_shortage = False  # this host had no descriptor or memory for it
         self.connected = False  # it was established at some time, or reset by the peer
         self.closed = False
@@ -100,9 +100,9 @@
 
     def on_received(self) -> None:
         """Processes new bytes in the buffer; raises RespError if they are malformed."""
-        for array in self.decoder.arrays(self.buffer):
+        for array in self.decoder.decode_arrays(self.buffer):
             self._owner.on_message(self, array)
-        self.partial_since = self._clock() if self.decoder.midway() or len(self.buffer) else None
+        self.partial_since = self._clock() if self.decoder.is_partial() or len(self.buffer) else None
 
     def on_writable(self) -> None:
         """Continues writing, as the socket buffer has space again."""
