--- a/edge_router/proxy/connection_pool.py
+++ b/edge_router/proxy/connection_pool.py
@@ -151,6 +151,6 @@
             for connection in list(connections):
                 idle = now - connection.last_used_at > max_idle
                 partial_since = connection.channel.partial_since
-                stuck = partial_since and now - partial_since > MAX_PARTIAL_TIME
+                stuck = partial_since is not None and now - partial_since > MAX_PARTIAL_TIME
                 if stuck or (not connection.attempts and (idle or connection.suspect)):
                     connection.channel.close()
--- a/edge_router/proxy/fastcgi_frontend.py
+++ b/edge_router/proxy/fastcgi_frontend.py
@@ -87,7 +87,7 @@
     def on_request(
         self,
         connection: ClientSession,
-        ident: int,
+        request_id: int,
         params: dict[str, str],
         body: bytes,
         invalid: InvalidRequest | None,
@@ -95,14 +95,16 @@
         """Handles a request, complete or refused by the decoder; False if it is answered as invalid."""
         path = params.get("SCRIPT_NAME", "") + params.get("PATH_INFO", "")
         if path == READY_PATH and invalid is None:
-            connection.send_response(ident, _encode_head(_SERVED if self.ready else _UNAVAILABLE, {}), b"")
+            connection.send_response(
+                request_id, _encode_head(_SERVED if self.ready else _UNAVAILABLE, {}), b""
+            )
             return True
         try:
             if invalid is not None:
                 raise BadRequestError(_INVALID_REQUEST_STATUSES[invalid.error], str(invalid))
             if params.get("CONTENT_LENGTH", "") not in ("", str(len(body))):
                 raise BadRequestError(HTTPStatus.BAD_REQUEST, "CONTENT_LENGTH is not that of the body")
-            respond = partial(self._respond, connection, ident)
+            respond = partial(self._respond, connection, request_id)
             incoming = self._parser.parse(path, header_fields(params), body, respond)
             incoming.time_unread = connection.time_unread
             incoming.poll_client = connection.poll_input
@@ -111,28 +113,28 @@
         except BadRequestError as error:
             log_rate_limited("bad-request", status=error.status.value, reason=str(error))
             head = _encode_head(_ERROR_STATUS_LINES[error.status], {"Content-Length": 0})
-            connection.send_response(ident, head, b"")
+            connection.send_response(request_id, head, b"")
             return False
         request = self._router.on_request(incoming)
         if request is not None and not request.answered:
-            self._open[connection, ident] = request
+            self._open[connection, request_id] = request
         return True
 
-    def _respond(self, connection: ClientSession, ident: int, response: FinalResponse) -> None:
-        self._open.pop((connection, ident), None)
-        connection.send_response(ident, encode_response_head(response), response.body)
+    def _respond(self, connection: ClientSession, request_id: int, response: FinalResponse) -> None:
+        self._open.pop((connection, request_id), None)
+        connection.send_response(request_id, encode_response_head(response), response.body)
 
-    def on_aborted(self, connection: ClientSession, ident: int) -> None:
+    def on_aborted(self, connection: ClientSession, request_id: int) -> None:
         """The client has aborted a request; the session frees its id once END_REQUEST is written."""
-        request = self._open.pop((connection, ident), None)
+        request = self._open.pop((connection, request_id), None)
         if request is not None:
             self._router.on_client_disconnected(request)
-            connection.end_request(ident, ProtocolStatus.COMPLETE)
+            connection.end_request(request_id, ProtocolStatus.COMPLETE)
 
-    def on_disconnected(self, connection: ClientSession, ident: int) -> None:
+    def on_disconnected(self, connection: ClientSession, request_id: int) -> None:
         """The client has closed its side: no further attempt is sent, but it may still read a response."""
-        request = self._open.pop((connection, ident), None)
+        request = self._open.pop((connection, request_id), None)
         if request is not None:
             response = self._router.response_without_decision(request)
             self._router.on_client_disconnected(request)
-            connection.send_response(ident, encode_response_head(response), response.body)
+            connection.send_response(request_id, encode_response_head(response), response.body)
