--- a/edge_router/protocol/fastcgi.py
+++ b/edge_router/protocol/fastcgi.py
@@ -13,8 +13,8 @@
 from edge_router.runtime.memory_budget import MemoryBudget
 
 
-class RecordType(IntEnum):
-    """The types of records; FastCGI 1.0, section 8."""
+class RecordType:
+    """The types of records; FastCGI 1.0, section 8. Plain numbers, as they are compared for each record."""
 
     BEGIN_REQUEST = 1
     ABORT_REQUEST = 2
@@ -215,7 +215,9 @@
             buffer.skip(_HEADER.size)
             content = buffer.read(length)
             buffer.skip(padding)
-            yield from self._on_record(record_type, ident, content)
+            event = self._on_record(record_type, ident, content)
+            if event is not None:
+                yield event
 
     def expire_partial(self, started_before: float) -> Iterator[RequestComplete]:
         """Ends the partial requests that began before this time (ms on the clock)."""
@@ -229,22 +231,25 @@
         for ident in list(self._partial_requests):
             self._discard_partial(ident)
 
-    def _on_record(self, record_type: int, ident: int, content: bytes) -> Iterator[DecoderEvent]:
+    def _on_record(self, record_type: int, ident: int, content: bytes) -> DecoderEvent | None:
         if record_type == RecordType.GET_VALUES:
-            yield RecordReply(_values_result(content))
-        elif not ident or record_type > RecordType.GET_VALUES_RESULT:
-            yield RecordReply(record(RecordType.UNKNOWN_TYPE, 0, _UNKNOWN_TYPE.pack(record_type)))
-        elif record_type == RecordType.BEGIN_REQUEST:
-            yield from self._on_begin(ident, content)
-        elif record_type == RecordType.ABORT_REQUEST:
-            yield from self._on_abort(ident)
-        elif partial := self._partial_requests.get(ident):  # FastCGI 1.0 has records of unknown ids ignored
-            if record_type == RecordType.PARAMS:
-                yield from self._on_params(ident, partial, content)
-            elif record_type == RecordType.STDIN:
-                yield from self._on_stdin(ident, partial, content)
-
-    def _on_begin(self, ident: int, content: bytes) -> Iterator[RecordReply]:
+            return RecordReply(_values_result(content))
+        if not ident or record_type > RecordType.GET_VALUES_RESULT:
+            return RecordReply(record(RecordType.UNKNOWN_TYPE, 0, _UNKNOWN_TYPE.pack(record_type)))
+        if record_type == RecordType.BEGIN_REQUEST:
+            return self._on_begin(ident, content)
+        if record_type == RecordType.ABORT_REQUEST:
+            return self._on_abort(ident)
+        partial = self._partial_requests.get(ident)
+        if partial is None:
+            return None  # FastCGI 1.0 has records of unknown ids ignored
+        if record_type == RecordType.PARAMS:
+            return self._on_params(ident, partial, content)
+        if record_type == RecordType.STDIN:
+            return self._on_stdin(ident, partial, content)
+        return None
+
+    def _on_begin(self, ident: int, content: bytes) -> RecordReply | None:
         if len(content) < _BEGIN.size:
             raise FastCgiError("BEGIN_REQUEST is cut short")
         if ident in self.open_ids:
@@ -252,46 +257,47 @@
         role, flags = _BEGIN.unpack_from(content)
         self.keep_connection = bool(flags & KEEP_CONN)
         if role != RESPONDER:
-            yield self._reject(ident, ProtocolStatus.UNKNOWN_ROLE)
-        elif len(self.open_ids) >= MAX_OPEN_REQUESTS:
-            yield self._reject(ident, ProtocolStatus.OVERLOADED)
-        else:
-            self.open_ids.add(ident)
-            self._partial_requests[ident] = _PartialRequest(self._clock())
+            return self._reject(ident, ProtocolStatus.UNKNOWN_ROLE)
+        if len(self.open_ids) >= MAX_OPEN_REQUESTS:
+            return self._reject(ident, ProtocolStatus.OVERLOADED)
+        self.open_ids.add(ident)
+        self._partial_requests[ident] = _PartialRequest(self._clock())
+        return None
 
-    def _on_abort(self, ident: int) -> Iterator[RequestAborted | RecordReply]:
+    def _on_abort(self, ident: int) -> RequestAborted | RecordReply | None:
         if ident not in self.open_ids:
-            return
+            return None
         if ident not in self._partial_requests:
-            yield RequestAborted(ident)
-        else:
-            self._discard_partial(ident)
-            self.open_ids.discard(ident)
-            yield RecordReply(end_record(ident, ProtocolStatus.COMPLETE, _ABORTED_APP_STATUS))
+            return RequestAborted(ident)
+        self._discard_partial(ident)
+        self.open_ids.discard(ident)
+        return RecordReply(end_record(ident, ProtocolStatus.COMPLETE, _ABORTED_APP_STATUS))
 
-    def _on_params(self, ident: int, partial: _PartialRequest, content: bytes) -> Iterator[RequestComplete]:
+    def _on_params(self, ident: int, partial: _PartialRequest, content: bytes) -> RequestComplete | None:
         if not content:
             partial.params_complete = True
         elif not self._budget.can_reserve(len(content)):
             partial.over_budget = True
         elif partial.params_complete or len(partial.params) + len(content) > MAX_PARAMS_SIZE:
-            yield self._reject_invalid(ident, RequestError.PARAMS_TOO_LONG)
+            return self._reject_invalid(ident, RequestError.PARAMS_TOO_LONG)
         else:
             partial.params += content
             self._budget.reserve(len(content))
+        return None
 
     def _on_stdin(
         self, ident: int, partial: _PartialRequest, content: bytes
-    ) -> Iterator[RequestComplete | RecordReply]:
+    ) -> RequestComplete | RecordReply | None:
         if not content:
-            yield self._on_end_of_body(ident, partial)
-        elif not self._budget.can_reserve(len(content)):
+            return self._on_end_of_body(ident, partial)
+        if not self._budget.can_reserve(len(content)):
             partial.over_budget = True
         elif len(partial.body) + len(content) > MAX_BODY_SIZE:
-            yield self._reject_invalid(ident, RequestError.BODY_TOO_LONG)
+            return self._reject_invalid(ident, RequestError.BODY_TOO_LONG)
         else:
             partial.body += content
             self._budget.reserve(len(content))
+        return None
 
     def _on_end_of_body(self, ident: int, partial: _PartialRequest) -> RequestComplete | RecordReply:
         self._discard_partial(ident)
