--- a/edge_router/decision/endpoint_directory.py
+++ b/edge_router/decision/endpoint_directory.py
@@ -84,19 +84,11 @@
 
     def cache_accepts(self, now: float, key: int, cache_id: EndpointId) -> bool:
         """Whether the cache is not ejected and, while it warms up, takes this key already."""
-        if not self.cache_outliers[cache_id].is_available(now):
-            return False
-        started_at = self.caches.endpoints[cache_id].started_at
-        available = self.cache_budget.available_capacity(now, started_at)
-        return available >= 1.0 or slow_start_unit(key, cache_id) < available
+        return _accepts(now, key, self.caches.endpoints[cache_id], self.cache_outliers, self.cache_budget)
 
     def parent_accepts(self, now: float, key: int, parent_id: EndpointId) -> bool:
         """Whether the parent is not ejected and, while it warms up, takes this key already."""
-        if not self.source_outliers[parent_id].is_available(now):
-            return False
-        started_at = self.parents.endpoints[parent_id].started_at
-        available = self.parent_budget.available_capacity(now, started_at)
-        return available >= 1.0 or slow_start_unit(key, parent_id) < available
+        return _accepts(now, key, self.parents.endpoints[parent_id], self.source_outliers, self.parent_budget)
 
     def is_available(self, now: float, cache_id: EndpointId, source_id: EndpointId) -> bool:
         """Whether neither the cache nor the source is ejected."""
@@ -115,3 +107,13 @@
     def source_failed(self, now: float, source_id: EndpointId, sent_at: float) -> bool:
         """Records a failed fill from a source; True if that ejects it."""
         return self.source_outliers[source_id].record_failure(now, sent_at, self._ejection_time, 1)
+
+
+def _accepts(
+    now: float, key: int, endpoint: Endpoint, outliers: OutlierDetectors, budget: SlowStartBudget
+) -> bool:
+    """Whether the endpoint is not ejected in its role and, while it warms up, takes this key already."""
+    if not outliers[endpoint.endpoint_id].is_available(now):
+        return False
+    available = budget.available_capacity(now, endpoint.started_at)
+    return available >= 1.0 or slow_start_unit(key, endpoint.endpoint_id) < available
