--- a/edge_router/decision/policy.py
+++ b/edge_router/decision/policy.py
@@ -44,7 +44,7 @@
 from edge_router.decision.outcome_recorder import OutcomeRecorder
 from edge_router.decision.pending_request import AttemptRecord, PendingRequest
 from edge_router.decision.popularity import COUNT_HALF_LIFE, Popularity
-from edge_router.decision.purges import PURGE_RETENTION_FACTOR, RecentPurges
+from edge_router.decision.purges import RecentPurges, purge_retention
 from edge_router.decision.retry_budget import RetryBudget
 from edge_router.decision.settings import Settings
 from edge_router.decision.slow_start import Charge
@@ -85,9 +85,7 @@
         self.loads = LinkLoads(settings, self.directory)
         half_life = COUNT_HALF_LIFE * max(settings.slow_start_duration, settings.purge_settle_time)
         self.popularity = Popularity(half_life)
-        self.purges = RecentPurges(
-            settings.purge_settle_time * PURGE_RETENTION_FACTOR + settings.purge_notice_time
-        )
+        self.purges = RecentPurges(purge_retention(settings))
         self.copies = CopyTracker(settings.slow_start_duration, self.purges)
         self.retry_budget = RetryBudget()
         self.mean_work = [MeanWork() for _ in settings.classes]
--- a/edge_router/decision/purges.py
+++ b/edge_router/decision/purges.py
@@ -10,12 +10,18 @@
 from typing import NamedTuple
 
 from edge_router.decision.messages import PurgeReceived
+from edge_router.decision.settings import Settings
 
 PURGE_RETENTION_FACTOR = 1.5  # purges are remembered for this multiple of the time that old copies may last
 MIN_COPY_AGE = 0.001  # the least age in an order; 0 would mean the default
 WHOLE_OBJECT = -1  # in place of a group, in the key of an object's purge
 
 
+def purge_retention(settings: Settings) -> float:
+    """Milliseconds for which a purge is remembered, after which no copy from before it is left."""
+    return settings.purge_settle_time * PURGE_RETENTION_FACTOR + settings.purge_notice_time
+
+
 class PurgeRecord(NamedTuple):
     """The last purge of an object or group."""
 
--- a/edge_router/proxy/request_router.py
+++ b/edge_router/proxy/request_router.py
@@ -23,7 +23,7 @@
     TimerFired,
 )
 from edge_router.decision.policy import RoutingPolicy
-from edge_router.decision.purges import PURGE_RETENTION_FACTOR
+from edge_router.decision.purges import purge_retention
 from edge_router.decision.settings import Settings
 from edge_router.discovery.endpoint_table import EndpointTable
 from edge_router.discovery.events import DiscoveryEvent
@@ -78,8 +78,7 @@
         self._wake = wake
         self.accounting = RequestAccounting(settings, clock, self.admission, self.post)
         self.peer_clock = PeerClock(clock)
-        purge_retention = settings.purge_settle_time * PURGE_RETENTION_FACTOR + settings.purge_notice_time
-        self.purges = PurgeHistory(purge_retention)
+        self.purges = PurgeHistory(purge_retention(settings))
         self.response_handler = ResponseHandler(
             settings, self.accounting, clock, self.peer_clock, self.purges
         )
