--- a/edge_router/discovery/events.py
+++ b/edge_router/discovery/events.py
@@ -38,10 +38,3 @@
 
     def on_discovery_event(self, event: DiscoveryEvent) -> None:
         """Called with each event, once."""
-
-
-class DiscoverySource(Protocol):
-    """Sends the listener every event for as long as it runs."""
-
-    async def run(self, listener: DiscoveryListener) -> None:
-        """Follows the list; never returns, and raises no network error."""
--- a/edge_router/model_checker/model/harness.py
+++ b/edge_router/model_checker/model/harness.py
@@ -77,7 +77,7 @@
         for chooser in (self.router.admission, self.router._policy):
             setattr(chooser, "_random", MiddleRandom())  # noqa: B010
         setattr(self.router._policy, "handle", ObservedHandler(self))  # noqa: B010
-        self.router.dispatcher.max_connections = connection_limit(SOCKETS)
+        self.router.dispatcher.pool.max_connections = connection_limit(SOCKETS)
         self.front = FastCgiFrontend(self.settings, self.router)
         self.front.ready = True
         self.shutdown_deadline = math.inf  # the second at which all open requests are ended after SIGTERM
@@ -211,14 +211,14 @@
         """Whether any of the router's limits is lower than at the start."""
         return (
             self.budget.limit < MEMORY
-            or self.router.dispatcher.max_connections < connection_limit(SOCKETS)
+            or self.router.dispatcher.pool.max_connections < connection_limit(SOCKETS)
             or self.cpu.saved < 0
         )
 
     def restore_limits(self) -> None:
         """Sets all limits as at the start."""
         self.budget.limit = MEMORY
-        self.router.dispatcher.max_connections = connection_limit(SOCKETS)
+        self.router.dispatcher.pool.max_connections = connection_limit(SOCKETS)
         self.cpu.saved = 0.0
 
     def exhaust_memory(self) -> None:
@@ -231,11 +231,11 @@
 
     def limit_connections_to_present(self) -> None:
         """Allows no further connection to caches."""
-        self.limit_connections(self.router.dispatcher.connection_count())
+        self.limit_connections(self.router.dispatcher.pool.connection_count())
 
     def limit_connections(self, max_connections: int) -> None:
         """Allows so many connections to caches."""
-        self.router.dispatcher.max_connections = max_connections
+        self.router.dispatcher.pool.max_connections = max_connections
 
 
 _active: Harness | None = None
--- a/edge_router/model_checker/model/settling.py
+++ b/edge_router/model_checker/model/settling.py
@@ -25,7 +25,7 @@
     return {
         "open requests": len(router.requests),
         "request ids": len(router.requests._by_request_id),
-        "connections": router.dispatcher.connection_count(),
+        "connections": router.dispatcher.pool.connection_count(),
         "attempts on connections": len(router.dispatcher._connection_of),
         "bytes of the budget": state.harness.budget._used,
         "requests of the front": len(state.harness.front._open),
--- a/edge_router/proxy/dispatcher.py
+++ b/edge_router/proxy/dispatcher.py
@@ -39,19 +39,6 @@
         self.pool = pool
         self._connection_of: dict[Attempt, UpstreamConnection] = {}
 
-    @property
-    def max_connections(self) -> int:
-        """The limit of the pool of connections."""
-        return self.pool.max_connections
-
-    @max_connections.setter
-    def max_connections(self, limit: int) -> None:
-        self.pool.max_connections = limit
-
-    def connection_count(self) -> int:
-        """Return how many connections the pool has."""
-        return self.pool.connection_count()
-
     def dispatch(self, attempt: Attempt) -> None:
         """Send an attempt, and end it as timed out at its deadline."""
         attempt.timeout_timer = self._timers.call_at(
--- a/edge_router/server/config_takeover.py
+++ b/edge_router/server/config_takeover.py
@@ -36,7 +36,7 @@
         """Applies the limits of sockets, memory and CPU."""
         self._acceptor.max_clients = max(MIN_CLIENTS, config.max_sockets // 2)
         self._budget.limit = config.memory_mb * BUFFER_MEMORY_SHARE * 1e6
-        self._router.dispatcher.max_connections = connection_limit(config.max_sockets)
+        self._router.dispatcher.pool.max_connections = connection_limit(config.max_sockets)
         self._router.admission.cpu_credit.set_share(config.cpu_cores)
 
     def reload(self, config: RouterConfig) -> None:
--- a/edge_router/server/server.py
+++ b/edge_router/server/server.py
@@ -57,7 +57,7 @@
             self._clock,
             self._timers,
             budget,
-            self._router.dispatcher.connection_count,
+            self._router.dispatcher.pool.connection_count,
             self._spawn,
         )
         self._change_log = ChangeLogWatcher(*config.change_log_address, config.last_sequence, config.seed)
--- a/edge_router/server/statistics_reporter.py
+++ b/edge_router/server/statistics_reporter.py
@@ -38,7 +38,7 @@
         self._router.accounting.log_statistics(
             requests=len(self._router.requests),
             clients=len(self._acceptor.clients),
-            upstream_connections=self._router.dispatcher.connection_count(),
+            upstream_connections=self._router.dispatcher.pool.connection_count(),
             loop_lag_ms=loop_lag * 1000.0,
             reserved_kb=self._budget.used / 1e3,
             resident_mb=self._memory.resident_mb(),
