--- a/edge_router/model_checker/model_settings.py
+++ b/edge_router/model_checker/model_settings.py
@@ -2,72 +2,45 @@
 
 from __future__ import annotations
 
+from dataclasses import replace
+
 from edge_router.decision.settings import ClassSettings, DeduplicationScope, Idempotency, Settings
 
 # Times are short, so that few alarms fall between a request and its end: only their order matters.
 DEADLINE = 400.0  # milliseconds
-CLASSES = {
-    "image": ClassSettings(
-        "image",
-        1.0,
-        0.2,
-        200.0,
-        0.0,
-        DEADLINE,
-        Idempotency.IDEMPOTENT,
-        DeduplicationScope.ALL,
-        0.0,
-        0.0,
-        0.0,
-        0.5,
-        False,
-    ),
-    "confirm": ClassSettings(
-        "confirm",
-        3.0,
-        0.0,
-        200.0,
-        0.0,
-        DEADLINE,
-        Idempotency.NONE,
-        DeduplicationScope.ALL,
-        0.0,
-        0.0,
-        0.0,
-        0.5,
-        True,
-    ),
-    "stock": ClassSettings(
-        "stock",
-        2.0,
-        0.0,
-        200.0,
-        0.0,
-        DEADLINE,
-        Idempotency.WITH_KEY,
-        DeduplicationScope.CELL,
-        100.0,
-        0.0,
-        0.0,
-        0.5,
-        True,
-    ),
-    "page": ClassSettings(
-        "page",
-        1.0,
-        0.2,
-        200.0,
-        0.0,
-        DEADLINE,
-        Idempotency.IDEMPOTENT,
-        DeduplicationScope.ALL,
-        0.0,
-        300.0,
-        0.0,
-        0.5,
-        False,
-    ),
-}
+_IMAGE = ClassSettings(
+    name="image",
+    priority_weight=1.0,
+    late_priority_weight=0.2,
+    latency_objective=200.0,
+    latency_objective_per_work=0.0,
+    deadline=DEADLINE,
+    idempotency=Idempotency.IDEMPOTENT,
+    deduplication_scope=DeduplicationScope.ALL,
+    deduplication_window=0.0,
+    freshness_lifetime=0.0,
+    stale_lifetime=0.0,
+    stale_priority_weight=0.5,
+    uncacheable=False,
+)
+_CONFIRM = replace(
+    _IMAGE,
+    name="confirm",
+    priority_weight=3.0,
+    late_priority_weight=0.0,
+    idempotency=Idempotency.NONE,
+    uncacheable=True,
+)
+_STOCK = replace(
+    _CONFIRM,
+    name="stock",
+    priority_weight=2.0,
+    idempotency=Idempotency.WITH_KEY,
+    deduplication_scope=DeduplicationScope.CELL,
+    deduplication_window=100.0,
+)
+_PAGE = replace(_IMAGE, name="page", freshness_lifetime=300.0)
+CLASSES = {each.name: each for each in (_IMAGE, _CONFIRM, _STOCK, _PAGE)}
 CLASS_ORDER = tuple(CLASSES)
 CACHE, PARENT, ORIGIN = range(3)
 PURGE_SETTLE_TIME = 800.0
