--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -24,6 +24,7 @@
 )
 from edge_router.decision.policy import RoutingPolicy
 from edge_router.decision.settings import ClassSettings, DeduplicationScope, Idempotency, Settings
+from edge_router.proxy.messages import FinalResponse, IncomingRequest
 
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
 MOST_KNOWN_RED = 3
@@ -99,6 +100,24 @@
     return [*nodes, Endpoint(ORIGIN, 2, 0.0, ready, 0, 0, 1.0)]
 
 
+def make_incoming_request(respond: Callable[[FinalResponse], None]) -> IncomingRequest:
+    return IncomingRequest(
+        request_id="9b1f03aa5c7e2d41",
+        class_name="image",
+        object_id="7f3a9c21e0b4d655",
+        segment_text="0",
+        class_index=0,
+        object_key=7,
+        segment=0,
+        purge_group=17,
+        size_kb=4.5,
+        timeout=3000.0,
+        client_etag=None,
+        body=b"",
+        respond=respond,
+    )
+
+
 class PolicyHarness:
     """One routing policy, its clock and the requests it was given."""
 
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -7,13 +7,13 @@
 from collections.abc import Iterator
 
 import pytest
-from conftest import CACHES, PolicyHarness
+from conftest import CACHES, PolicyHarness, make_incoming_request
 from router_harness import SETTINGS
 
 from edge_router.config.settings_reader import settings_from_json
 from edge_router.decision.messages import Endpoint, EndpointState, UpdateKind
 from edge_router.discovery.events import EndpointAddress, EndpointsChanged
-from edge_router.proxy.messages import FinalResponse, IncomingRequest, ResponseStatus
+from edge_router.proxy.messages import FinalResponse, ResponseStatus
 from edge_router.proxy.request_router import RequestRouter
 from edge_router.runtime.clock import Clock
 from edge_router.runtime.memory_budget import MemoryBudget
@@ -50,7 +50,7 @@
             settings_from_json(SETTINGS), 7, clock, Timers(clock, lambda: 0.0), budget, 0.0, self._connect
         )
         self.clock = clock
-        self.route.dispatcher.max_connections = 8
+        self.route.dispatcher.pool.max_connections = 8
         kinds = ((0x10, 0, 1), (0x11, 0, 1), (0x30, 2, 0))
         self.route.on_discovery_event(
             EndpointsChanged(
@@ -72,23 +72,7 @@
 
     def request(self, client: Client) -> None:
         """Has the router take a request of the client."""
-        request = self.route.on_request(
-            IncomingRequest(
-                "9b1f03aa5c7e2d41",
-                "image",
-                "7f3a9c21e0b4d655",
-                "0",
-                0,
-                7,
-                0,
-                17,
-                4.5,
-                3000.0,
-                None,
-                b"",
-                client.reply,
-            )
-        )
+        request = self.route.on_request(make_incoming_request(client.reply))
         assert request is not None
         assert not self.route.run_decisions()
 
--- a/tests/test_statistics.py
+++ b/tests/test_statistics.py
@@ -2,10 +2,11 @@
 
 from __future__ import annotations
 
+from conftest import make_incoming_request
 from router_harness import SETTINGS
 
 from edge_router.config.settings_reader import settings_from_json
-from edge_router.proxy.messages import FinalResponse, IncomingRequest, ResponseStatus
+from edge_router.proxy.messages import FinalResponse, ResponseStatus
 from edge_router.proxy.request_router import RequestRouter
 from edge_router.runtime.clock import Clock
 from edge_router.runtime.event_log import set_sink
@@ -22,23 +23,7 @@
     router = RequestRouter(
         settings_from_json(SETTINGS), 7, clock, Timers(clock, lambda: 0.0), budget, 0.0, fail_on_connect
     )
-    router.on_request(
-        IncomingRequest(
-            "9b1f03aa5c7e2d41",
-            "image",
-            "7f3a9c21e0b4d655",
-            "0",
-            0,
-            7,
-            0,
-            17,
-            4.5,
-            3000.0,
-            None,
-            b"",
-            responses.append,
-        )
-    )
+    router.on_request(make_incoming_request(responses.append))
     assert not router.run_decisions()
     set_sink(lambda event, fields: lines.append((event, fields)))
     try:
