--- a/benchmarks/explore.py
+++ b/benchmarks/explore.py
@@ -26,9 +26,8 @@
 
 def _play(name: str, depth: int, processes: int = 1, **options: object) -> Result:
     with WorkerPool(processes) as workers:
-        mutation_run.explore(
-            named(SMALL, name).with_bounds(depth=2), workers, Options()
-        )  # processes are up by now
+        # A first run, so that the processes are up.
+        mutation_run.explore(named(SMALL, name).with_bounds(depth=2), workers, Options())
         return mutation_run.explore(named(SMALL, name).with_bounds(depth=depth), workers, Options(**options))  # type: ignore[arg-type]
 
 
--- a/edge_router/decision/link_load.py
+++ b/edge_router/decision/link_load.py
@@ -11,9 +11,8 @@
 
 SLOWDOWN_HALF_LIFE = 3.0  # in the shortest latency objectives
 HEADROOM_DEVIATIONS = 2.0  # a router may exceed its share by so many standard deviations of its own work
-PRIOR_WEIGHT = (
-    0.4  # in the shortest latency objectives: weight of the assumption that a link is not slowed down
-)
+# The weight, in the shortest latency objectives, of the assumption that a link is not slowed down.
+PRIOR_WEIGHT = 0.4
 MIN_MEASURABLE_SLOWDOWN = 1.3  # a transfer slowed down by more than this tells the capacity of a link
 CAPACITY_LEARNING_RATE = 0.1  # weight of one observation of the capacity
 MAX_DECAY_HALVINGS = 64.0
--- a/edge_router/discovery/change_log_watcher.py
+++ b/edge_router/discovery/change_log_watcher.py
@@ -14,9 +14,7 @@
 from edge_router.runtime.event_log import log
 
 # An event counts as received 2 s after a break and 4 s after the log stops: all waits must fit into that.
-IDLE_TIMEOUT = (
-    2.5  # seconds without progress after which a connection is given up; heartbeats come each second
-)
+IDLE_TIMEOUT = 2.5  # seconds without progress that end a connection; heartbeats come each second
 MIN_PROGRESS = 4096  # bytes of one frame that count as progress, since a long list may take long to arrive
 MIN_BACKOFF, MAX_BACKOFF = 0.05, 0.4  # seconds before the next connection, doubled from one to the other
 BACKOFF_JITTER = 0.5  # the part of a backoff that is random, so that a whole fleet does not reconnect in step
--- a/edge_router/model_checker/observations.py
+++ b/edge_router/model_checker/observations.py
@@ -63,14 +63,12 @@
     deadline: float  # Unix milliseconds by which it must be answered
     state: RequestState = RequestState.OPEN
     attempts: list[ObservedAttempt] = field(default_factory=list)
-    ended_attempts: list[int] = field(
-        default_factory=list
-    )  # attempts whose end the decision module was notified of
+    # The attempts whose end the decision module was notified of.
+    ended_attempts: list[int] = field(default_factory=list)
     ordered_attempts: int = 0
     copies: dict[bytes, ObservedCopy] = field(default_factory=dict)  # by the body of the answer
-    status_codes: dict[int, str] = field(
-        default_factory=dict
-    )  # by attempt: the answer code that reached the router
+    # By attempt: the code of the answer that reached the router.
+    status_codes: dict[int, str] = field(default_factory=dict)
 
     def attempt(self, number: int) -> ObservedAttempt | None:
         """The attempt of that number, if its first byte was seen."""
--- a/edge_router/runtime/peer_clock.py
+++ b/edge_router/runtime/peer_clock.py
@@ -71,9 +71,8 @@
         else:
             self._early_copies.append(_EarlyCopy(max_offset, received_at))
             if evidence := self._early_evidence():
-                self._adjust(
-                    sorted(copy.max_offset for copy in evidence)[-2]
-                )  # the freshest may be a mistake
+                # The freshest may be a mistake.
+                self._adjust(sorted(copy.max_offset for copy in evidence)[-2])
 
     def _early_evidence(self) -> list[_EarlyCopy]:
         """The consecutive early copies that show that the local clock is ahead; empty if they don't."""
--- a/edge_router/runtime/timers.py
+++ b/edge_router/runtime/timers.py
@@ -9,9 +9,7 @@
 from edge_router.runtime.clock import Clock
 from edge_router.runtime.event_log import log
 
-LATE_TIMER_TOLERANCE = (
-    0.02  # seconds; a timer that fires later shows a stall: the loop's granularity is finer
-)
+LATE_TIMER_TOLERANCE = 0.02  # seconds; a later timer shows a stall, as the loop's granularity is finer
 STALL_MEMORY = 0.2  # seconds after a stall during which bytes that are read may have arrived in it
 
 
--- a/edge_router/server/client_acceptor.py
+++ b/edge_router/server/client_acceptor.py
@@ -23,9 +23,7 @@
 IDLE_TIMEOUT = 60_000.0  # ms after which a client connection without open requests is closed
 IDLE_CHECK_INTERVAL = 5.0  # seconds
 TIMEOUT_CHECK_INTERVAL = 0.25  # seconds between two checks of requests that clients send slowly
-MAX_TIMEOUT_CHECK_LAG = (
-    0.5  # seconds; a check that runs later reflects a stall of this process, not the clients
-)
+MAX_TIMEOUT_CHECK_LAG = 0.5  # seconds; a later check reflects a stall of this process, not the clients
 MIN_SILENT_TIME = 100.0  # ms for which a new client may send nothing before it can be evicted
 MIN_IDLE_TIME = 60.0  # ms for which a client keeps its place after a request: the next may be on its way
 EVICTION_BATCH = 0.125  # part of all places that is freed at once, as each search visits every client
--- a/edge_router/server/graceful_shutdown.py
+++ b/edge_router/server/graceful_shutdown.py
@@ -87,9 +87,8 @@
         while trio.current_time() < end and _has_pending_connection(listener):
             await trio.sleep(POLL_INTERVAL)
         self._acceptor.stop()
-        await (
-            trio.lowlevel.checkpoint()
-        )  # lets the accept loop end, which may be about to wait for the listener
+        # Lets the accept loop end, which may be about to wait for the listener.
+        await trio.lowlevel.checkpoint()
         await self._acceptor.accept_remaining(listener, end + FINAL_ACCEPT_TIME)
         listener.close()
 
--- a/edge_router/server/server.py
+++ b/edge_router/server/server.py
@@ -74,9 +74,8 @@
         for event in self._config.initial_events:
             self._router.on_discovery_event(event)
         with trio.open_signal_receiver(*HANDLED_SIGNALS) as signals:
-            signal.pthread_sigmask(
-                signal.SIG_UNBLOCK, HANDLED_SIGNALS
-            )  # delivers those pending since the start
+            # Delivers the signals pending since the start.
+            signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
             self._start_tasks(listener)
             self._frontend.ready = True
             log(
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -21,9 +21,8 @@
     partial.sock.sendall(partial.encode_request()[:40])
     idle = [router.connect() for _ in range(6)]
     for client in idle[:3]:
-        assert (
-            client.request(path="/status/live").status == 200
-        )  # and it stays; the others never say anything
+        # It stays connected; the others never send anything.
+        assert client.request(path="/status/live").status == 200
     for _ in range(8):
         late = router.connect()
         assert late.request(path="/status/live").status == 200
--- a/tests/test_policy_outliers.py
+++ b/tests/test_policy_outliers.py
@@ -43,9 +43,8 @@
         for ask in asked
         for attempt in started_attempts(policy.handle(TimerFired(ask.request_number)))
     ]
-    assert (
-        moved[0].endpoint_id == moved[0].source_id == silent.endpoint_id
-    )  # just the answer may have been lost
+    # Just the answer may have been lost.
+    assert moved[0].endpoint_id == moved[0].source_id == silent.endpoint_id
     assert moved[-1].endpoint_id != silent.endpoint_id
     assert started_attempts(policy.request())[0].endpoint_id != silent.endpoint_id
 
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -112,9 +112,8 @@
     assert left.read_response()[:2] == (1, 0)
     stays.send_request(1, X_TXN="00000000000000bb", X_TTL_MS="30000")
     wait_for_decisions(stays)
-    assert (
-        connections_to(unresponsive) == 1
-    )  # the second request goes by the connection that the first gave up
+    # The second request goes by the connection that the first gave up.
+    assert connections_to(unresponsive) == 1
     asked = unresponsive.accept_connection().recv(1000)
     assert b"00000000000000bb" in asked
     assert b"00000000000000aa" not in asked
