--- a/edge_router/decision/copy_tracker.py
+++ b/edge_router/decision/copy_tracker.py
@@ -8,7 +8,7 @@
 from edge_router.decision.messages import Endpoint, EndpointId, RequestReceived
 from edge_router.decision.purges import RecentPurges
 
-COPY_LIFETIME_FACTOR = 1.0  # in slow-start durations; a copy used within it is assumed to be cached still
+COPY_LIFETIME_FACTOR = 1.0  # multiple of the slow-start duration; a copy used within it counts as cached
 MAX_TRACKED_COPIES = 20_000
 
 
--- a/edge_router/decision/link_load.py
+++ b/edge_router/decision/link_load.py
@@ -9,7 +9,7 @@
 import math
 from dataclasses import dataclass
 
-SLOWDOWN_HALF_LIFE_FACTOR = 3.0  # in multiples of the shortest latency objective
+SLOWDOWN_HALF_LIFE_FACTOR = 3.0  # multiple of the shortest latency objective
 HEADROOM_DEVIATIONS = 2.0  # standard deviations of its own load by which a router may exceed its share
 # Weight of the prior assumption of full speed, in multiples of the shortest latency objective.
 PRIOR_WEIGHT_FACTOR = 0.4
@@ -33,7 +33,10 @@
 
     @classmethod
     def from_share(cls, transfers: float, share: float, shortest_objective: float) -> LinkLoad:
-        """The load of a link for `transfers` at once, shared; 0 means that the capacity has to be learned."""
+        """Creates the load of a link that sustains `transfers` at once, of which this router has `share`.
+
+        With 0 transfers the capacity is unknown until it is learned.
+        """
         if transfers <= 0:
             return cls(math.inf, 0.0, shortest_objective)
         own = transfers * share
@@ -56,14 +59,14 @@
         return max(1.0, (self.in_flight + 1) / (self.capacity + headroom), slowdown)
 
     def record_transfer(self, now: float, duration: float, work: float) -> None:
-        """Records a finished transfer: its duration, and its work."""
+        """Records the duration and the work of a finished transfer."""
         decay = self._decay(now)
         self.transfer_time = self.transfer_time * decay + duration
         self.transfer_work = self.transfer_work * decay + work
         self.updated_at = now
 
     def update_capacity(self, concurrent: int, slowdown: float) -> None:
-        """Learns a capacity that is not configured, from one of `concurrent` transfers and its slowdown."""
+        """Learns a capacity that is not configured from the slowdown of one of `concurrent` transfers."""
         observed = max(1.0, concurrent / max(slowdown, 1.0))
         if self.capacity == math.inf:
             self.capacity = observed if slowdown >= MIN_MEASURABLE_SLOWDOWN and concurrent > 1 else math.inf
--- a/edge_router/decision/link_loads.py
+++ b/edge_router/decision/link_loads.py
@@ -14,7 +14,8 @@
 from edge_router.decision.pending_request import AttemptRecord, PendingRequest
 from edge_router.decision.settings import Settings
 
-# Parts of the latency objective: a link is congested if sending would take longer.
+# Parts of the latency objective: a link is congested if sending would take longer. The first limit is
+# approached with many routers in the zone, the second holds for a single one.
 CONGESTED_SHARED, CONGESTED_ALONE = 0.65, 0.8
 MAX_FILL_SLOWDOWN = 3.0  # a single fill is recorded with no greater slowdown
 FILL_WAIT_LEARNING_RATE = 0.1  # weight of one observation of the wait for the first byte of a fill
@@ -36,7 +37,7 @@
         zone, bandwidths, routers = settings.zone, settings.zone_link_bandwidth, settings.routers_by_zone
         zone_routers = routers[zone] if 0 <= zone < len(routers) else settings.fleet_size
         self._zone_share = 1.0 / max(1, zone_routers)
-        # It is lower the more routers share the zone, as the load that they add during a response is unknown.
+        # The more routers share the zone, the lower: the load that they add during a response is unknown.
         self._congestion_threshold = (
             CONGESTED_SHARED + (CONGESTED_ALONE - CONGESTED_SHARED) * self._zone_share
         )
--- a/edge_router/decision/outlier_detection.py
+++ b/edge_router/decision/outlier_detection.py
@@ -14,7 +14,7 @@
 
 EJECTION_SCORE = 2  # an endpoint is ejected once its failures since the last success sum to this
 RESET_SCORE = 0.5  # of a reset connection; lower, as a dead process also refuses the next connection
-EJECTION_TIME_FACTOR = 4.0  # in connect timeouts; after it, a single attempt is sent as a trial
+EJECTION_TIME_FACTOR = 4.0  # multiple of the connect timeout; after it, a single attempt is sent as a trial
 
 
 @dataclass(slots=True)
--- a/edge_router/decision/policy.py
+++ b/edge_router/decision/policy.py
@@ -53,9 +53,9 @@
 from edge_router.decision.slow_start import Charge
 
 OVERDUE_OBJECTIVE_SHARE = 0.6  # of the latency objective, after which an attempt is overdue
-OVERDUE_EXPECTED_FACTOR = 1.5  # times the duration expected at the present load; no attempt is overdue before
+OVERDUE_EXPECTED_FACTOR = 1.5  # multiple of the duration expected at the present load; not overdue before
 MAX_HEDGING_SLOWDOWN = 1.5  # at this slowdown of its links an available cache causes no hedged request
-MIN_SILENCE_FACTOR = 3.0  # in connect timeouts; silence counts as a failure of the cache after it
+MIN_SILENCE_FACTOR = 3.0  # multiple of the connect timeout; silence counts as a cache failure after it
 MAX_ORIGIN_SLOWDOWN = 1.25  # fetches sent to the origin for each that it answers; the others avoid it
 MEAN_WORK_SAMPLES = 1000.0  # requests
 TIMER_TOLERANCE = 0.001  # milliseconds by which a timer may fire early
@@ -150,8 +150,8 @@
     def _try_candidates(self, now: float, pending: PendingRequest, cached_only: bool = False) -> bool:
         """Sends the request to the first cache and source that may take it; False if there is none.
 
-        While the zone's link is congested, one cache is asked for its copy and must not fill. While the
-        origin is overloaded, a random part of the requests avoids it.
+        While the zone's link is congested, the request goes to one cache only, which must not fill. While
+        the origin is overloaded, a random part of the requests avoids it.
         """
         cacheable = not pending.settings.uncacheable
         pending.avoids_origin = cacheable and (
--- a/edge_router/decision/popularity.py
+++ b/edge_router/decision/popularity.py
@@ -10,8 +10,8 @@
 import math
 from dataclasses import dataclass
 
-HIT_SHARE_THRESHOLD = 0.9  # part of all requests that the top set receives
-COUNT_HALF_LIFE_FACTOR = 4.0  # in the slow-start duration, or the settle time of purges if longer
+HIT_SHARE_THRESHOLD = 0.9  # least part of all requests that the top set receives
+COUNT_HALF_LIFE_FACTOR = 4.0  # multiple of the longer one of slow-start duration and purge settle time
 MAX_COUNTED_OBJECTS = 20_000  # the less popular half is dropped when a new object exceeds it
 MIN_RANKED_REQUESTS = 50  # requests counted before the ranking is used
 RANKING_INTERVAL = 50  # requests between two rankings at least; more with many objects
--- a/edge_router/decision/purges.py
+++ b/edge_router/decision/purges.py
@@ -13,7 +13,7 @@
 from edge_router.decision.messages import PurgeReceived
 from edge_router.decision.settings import Settings
 
-PURGE_RETENTION_FACTOR = 1.5  # of the settle time, within which old copies disappear
+PURGE_RETENTION_FACTOR = 1.5  # multiple of the settle time, within which old copies disappear
 MIN_COPY_AGE = 0.001  # milliseconds; an attempt's maximum age of 0 would mean no limit
 WHOLE_OBJECT = -1  # stands for the purge group in the key of an object's purge
 
--- a/edge_router/decision/rules.py
+++ b/edge_router/decision/rules.py
@@ -17,6 +17,7 @@
 from edge_router.decision.messages import Endpoint, EndpointId, Outcome
 from edge_router.decision.settings import ClassSettings, DeduplicationScope, Idempotency
 
+# The outcomes after which the attempt has certainly not run at the cache.
 PROVES_NOT_RUN = frozenset((Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.MISS))
 
 
