--- a/edge_router/model_checker/mutations/proxy.py
+++ b/edge_router/model_checker/mutations/proxy.py
@@ -67,7 +67,7 @@
         "last-look-gone",
         dispatcher.AttemptDispatcher,
         "begin_send",
-        "if not self.check_sendable(attempt):",
+        "if not self.end_unless_sendable(attempt):",
         "if False:",
         ("drain", "log"),
         "no-drained",
--- a/edge_router/proxy/cache_response.py
+++ b/edge_router/proxy/cache_response.py
@@ -28,7 +28,7 @@
 FILL_WAIT = "waited"  # ms
 LOAD_REPORT = "meter"  # `name:value` pairs, separated by semicolons
 
-FILL_RESULT_BY_WORD = {
+FILL_RESULT_BY_NAME = {
     "hit": FillResult.HIT,
     "filled": FillResult.FILLED,
     "via_origin": FillResult.FILLED_BY_ORIGIN,
@@ -65,7 +65,7 @@
 
     def fill_result(self) -> FillResult:
         """Returns how the copy was obtained; NONE if missing or unknown."""
-        return FILL_RESULT_BY_WORD.get(self.fields.get(FILL_RESULT, ""), FillResult.NONE)
+        return FILL_RESULT_BY_NAME.get(self.fields.get(FILL_RESULT, ""), FillResult.NONE)
 
     def fill_wait(self) -> float:
         """Returns the time (ms) for which the cache waited for the source; 0 if missing or invalid."""
--- a/edge_router/proxy/connection_pool.py
+++ b/edge_router/proxy/connection_pool.py
@@ -89,10 +89,10 @@
                 return connection
         return None
 
-    def _may_open(self, open_to_endpoint: int) -> bool:
+    def _may_open(self, endpoint_connections: int) -> bool:
         """Return whether an endpoint may have one more connection; if necessary, an idle one is evicted."""
         fair_share = max(2, self.max_connections // max(1, len(self._connections)))
-        return open_to_endpoint < min(MAX_CONNECTIONS_PER_ENDPOINT, fair_share) and (
+        return endpoint_connections < min(MAX_CONNECTIONS_PER_ENDPOINT, fair_share) and (
             self.connection_count() < self.max_connections or self._evict_idle()
         )
 
--- a/edge_router/proxy/discovery_updates.py
+++ b/edge_router/proxy/discovery_updates.py
@@ -50,7 +50,7 @@
         else:
             self._update_endpoints(event)
         for attempt in unsent:
-            self._dispatcher.check_sendable(attempt)
+            self._dispatcher.end_unless_sendable(attempt)
 
     def _record_purge(self, event: ObjectPurged) -> None:
         self._peer_clock.observe_event(event.unix_time)
--- a/edge_router/proxy/dispatcher.py
+++ b/edge_router/proxy/dispatcher.py
@@ -51,7 +51,7 @@
 
     def _enqueue(self, attempt: Attempt) -> None:
         """Queue an attempt on a connection; without one, it ends as not sent."""
-        if not self.check_sendable(attempt):
+        if not self.end_unless_sendable(attempt):
             return
         endpoint_id, request_id = attempt.instruction.endpoint_id, attempt.request.incoming.request_id
         connection = self.pool.acquire(endpoint_id, request_id, self)
@@ -74,8 +74,8 @@
             instruction.source_id
         )
 
-    def check_sendable(self, attempt: Attempt) -> bool:
-        """Return whether an attempt may still be sent; if not, it ends as not sent.
+    def end_unless_sendable(self, attempt: Attempt) -> bool:
+        """End an attempt as not sent unless it may still be sent; return whether it may.
 
         An attempt is checked once more right before its first byte, because endpoints may drain, requests may
         end and purges may arrive after the decision. This also holds where the settings forbid cancellation.
@@ -108,7 +108,7 @@
     def begin_send(self, attempt: Attempt) -> bytes | None:
         """Mark an attempt as sent and return its bytes; None if it may not be sent any more."""
         attempt.request.incoming.poll_client()  # the client's disconnect may not have been read yet
-        if not self.check_sendable(attempt):
+        if not self.end_unless_sendable(attempt):
             return None
         now, instruction = self._clock.now(), attempt.instruction
         ready = self._endpoints.is_ready(instruction.endpoint_id) and self._source_ready(instruction)
--- a/edge_router/proxy/fastcgi_frontend.py
+++ b/edge_router/proxy/fastcgi_frontend.py
@@ -18,7 +18,7 @@
 from edge_router.runtime.event_log import log_rate_limited
 from edge_router.transport.client_session import ClientSession
 
-READY_PATH = "/status/live"  # clients poll it until the router is ready for requests
+READY_PATH = "/status/live"  # polled until the router is ready for requests
 
 _HEADER_PREFIX = "HTTP_"  # prefix of the CGI parameters that hold header fields
 _CACHED_NAMES = 256  # parameter names whose header fields are cached
@@ -135,7 +135,7 @@
             connection.end_request(request_id, ProtocolStatus.COMPLETE)
 
     def on_disconnected(self, connection: ClientSession, request_id: int) -> None:
-        """Handles that the client has closed its side: sends no further attempt, but still a response."""
+        """Handles that the client closed its side: no further attempt is sent, but it may read a response."""
         request = self._open_requests.pop((connection, request_id), None)
         if request is not None:
             response = self._router.response_without_decision(request)
--- a/edge_router/proxy/fetch_command.py
+++ b/edge_router/proxy/fetch_command.py
@@ -13,7 +13,7 @@
 from edge_router.protocol import resp
 from edge_router.proxy.request_table import Attempt
 
-MODE_WORDS = (
+FILL_MODE_NAMES = (
     (FillMode.COALESCE, "wait-for"),
     (FillMode.CACHED_ONLY, "no-fetch"),
     (FillMode.NO_PARENT_CACHING, "no-keep"),
@@ -38,7 +38,7 @@
         fields.append(("rank", str(instruction.cache_rank)))
     if instruction.max_age > 0:
         fields.append(("oldest", str(max(1, int(instruction.max_age)))))
-    if mode := "+".join(word for bit, word in MODE_WORDS if instruction.fill_mode & bit):
+    if mode := "+".join(name for bit, name in FILL_MODE_NAMES if instruction.fill_mode & bit):
         fields.append(("mode", mode))
     if incoming.client_etag:
         fields.append(("seen", incoming.client_etag))
--- a/edge_router/proxy/request_router.py
+++ b/edge_router/proxy/request_router.py
@@ -100,7 +100,7 @@
         self._logged_at: dict[str, float] = {}  # when each text of the policy was last logged
 
     def on_request(self, incoming: IncomingRequest) -> ActiveRequest | None:
-        """Admit a request and queue it for its decision; None if it was rejected, which also answers it."""
+        """Admit a request and queue it for its decision; None if it was rejected and thereby answered."""
         now = self._clock.now()
         request = self.admission.admit(now, incoming)
         if request is None:
@@ -162,7 +162,7 @@
             self.post(ClientDisconnected(request.request_number))
             for attempt in list(request.attempts):
                 if attempt.sent_at is None:
-                    self.dispatcher.check_sendable(attempt)
+                    self.dispatcher.end_unless_sendable(attempt)
 
     def response_without_decision(self, request: ActiveRequest) -> FinalResponse:
         """Return the response to a request without a decision: rejected if a retry is safe, else failed."""
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -86,7 +86,7 @@
 
 
 def test_concurrent_requests_use_separate_upstream_connections(router: RouterHarness) -> None:
-    """Requests do not share a connection, because an invalid response closes the connection it came on."""
+    """Requests do not share a connection, because an invalid response closes its connection."""
     client = router.connect()
     for ident in range(1, 9):
         client.send_request(ident, X_ROW=f"{ident:016x}", **WRITE_REQUEST)
