--- a/edge_router/model_checker/mutations/proxy.py
+++ b/edge_router/model_checker/mutations/proxy.py
@@ -66,8 +66,8 @@
     Mutation(
         "last-look-gone",
         dispatcher.AttemptDispatcher,
-        "begin",
-        "if not self.check_sendable(attempt):",
+        "begin_send",
+        "if not self.end_unless_sendable(attempt):",
         "if False:",
         ("drain", "log"),
         "no-drained",
@@ -224,7 +224,7 @@
     Mutation(
         "no-connection-not-looked-at",
         dispatcher.AttemptDispatcher,
-        "_place",
+        "_enqueue",
         "if connection is None:",
         "if False:",
         ("limits",),
