--- a/edge_router/__init__.py
+++ b/edge_router/__init__.py
@@ -1,3 +1,3 @@
-"""An edge router before caches of large objects: FastCGI in, RESP to the caches."""
+"""An edge router in front of caches of large objects: FastCGI to clients, RESP to the caches."""
 
 __version__ = "0.1.0"
--- a/edge_router/__main__.py
+++ b/edge_router/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m edge_router`: starts one edge router, or with arguments the command line."""
+"""`python -m edge_router`: runs one edge router or, with arguments, a command of `edge_router.cli`."""
 
 import sys
 
--- a/edge_router/server/__init__.py
+++ b/edge_router/server/__init__.py
@@ -1,1 +1,1 @@
-"""The process: startup, accepting clients, statistics and graceful shutdown."""
+"""The router process: startup, accepting clients, statistics, reloads and graceful shutdown."""
--- a/edge_router/server/client_acceptor.py
+++ b/edge_router/server/client_acceptor.py
@@ -1,4 +1,4 @@
-"""Accepts client connections, keeps the table of them, and evicts idle ones when it is full."""
+"""Accepts client connections, keeps a table of them, and evicts idle ones when the table is full."""
 
 from __future__ import annotations
 
@@ -23,15 +23,17 @@
 IDLE_TIMEOUT = 60_000.0  # ms after which a client connection without open requests is closed
 IDLE_CHECK_INTERVAL = 5.0  # seconds
 TIMEOUT_CHECK_INTERVAL = 0.25  # seconds between two checks of requests that clients send slowly
-MAX_TIMEOUT_CHECK_LAG = 0.5  # seconds; a later check reflects a stall of this process, not the clients
+# Seconds. A check that runs later than this is skipped, because this process stalled and not the clients.
+MAX_TIMEOUT_CHECK_LAG = 0.5
 MIN_SILENT_TIME = 100.0  # ms for which a new client may send nothing before it can be evicted
-MIN_IDLE_TIME = 60.0  # ms for which a client keeps its place after a request: the next may be on its way
-EVICTION_BATCH = 0.125  # part of all places that is freed at once, as each search visits every client
-FULL_TABLE_DELAY = 0.01  # seconds between two searches for idle clients while there are none
+# Milliseconds after a request during which a client is not evicted, as its next request may be in flight.
+MIN_IDLE_TIME = 60.0
+EVICTION_BATCH = 0.125  # fraction of `max_clients` evicted at once, because each search visits every client
+FULL_TABLE_DELAY = 0.01  # seconds between two searches when no client can be evicted
 EVICTION_DELAY = 0.001  # seconds that evicted clients are given to close
-EXHAUSTED_DELAY = 0.05  # seconds to the next accept(2) without descriptors or memory
-FINAL_RETRY_DELAY = 0.01  # seconds to the next accept(2) after a shortage at shutdown
-MIN_CLIENTS = 8
+EXHAUSTED_DELAY = 0.05  # seconds before the next accept(2) when descriptors or memory are exhausted
+FINAL_RETRY_DELAY = 0.01  # seconds before the next accept(2) after a local shortage at shutdown
+MIN_CLIENTS = 8  # lower bound of `max_clients`, however few sockets the configuration allows
 EXPECTED_CLOSE_REASONS = frozenset(
     (
         CloseReason.CLIENT_CLOSED,
@@ -57,10 +59,10 @@
         connection_count: Callable[[], int],
         spawn: Spawn,
     ) -> None:
-        """Prepares the table.
+        """Creates an empty table.
 
         `connection_count` returns the number of upstream connections, for the log; `spawn` starts the task of
-        one connection, whose errors must not reach other connections.
+        one connection, and must keep its errors from ending other tasks.
         """
         self.clients: set[ClientConnection] = set()
         self.max_clients = MIN_CLIENTS
@@ -78,14 +80,15 @@
             await keep_running("accept", partial(self._accept_loop, listener))
 
     def stop(self) -> None:
-        """Ends the accept loop; connections that were accepted stay."""
+        """Ends the accept loop; accepted connections stay open."""
         self._scope.cancel()
 
     async def accept_remaining(self, listener: socket.socket, end: float) -> None:
-        """Accepts all connections that are pending, beyond `max_clients` too.
+        """Accepts all pending connections, even if that exceeds `max_clients`.
 
-        A failed accept(2), as after an aborted connection or in a short lack of descriptors, is retried until
-        `end` (seconds of trio's clock): closing the listener would reset the other pending connections.
+        A failed accept(2), caused for example by an aborted connection or a brief lack of descriptors, is
+        retried until `end` (seconds of trio's clock), because closing the listener would reset the other
+        pending connections.
         """
         while True:
             try:
@@ -104,7 +107,7 @@
             client.close_if_idle(reason)
 
     async def run_idle_checks(self) -> None:
-        """Closes clients that were idle for `IDLE_TIMEOUT`."""
+        """Closes clients that have been idle for `IDLE_TIMEOUT`."""
         while True:
             await trio.sleep(IDLE_CHECK_INTERVAL)
             used_before = self._clock.now() - IDLE_TIMEOUT
@@ -113,7 +116,7 @@
                     client.close_if_idle(CloseReason.IDLE_TIMEOUT)
 
     async def run_timeout_checks(self) -> None:
-        """Checks the time limits of what clients are sending."""
+        """Checks the time limits on requests that clients are still sending."""
         while True:
             due = trio.current_time() + TIMEOUT_CHECK_INTERVAL
             await trio.sleep_until(due)
@@ -135,7 +138,7 @@
                 await self._on_accept_failed(error)
 
     async def _on_accept_failed(self, error: OSError) -> None:
-        """Logs the failure; without descriptors or memory, evicts idle clients and waits."""
+        """Logs the failure; if descriptors or memory are exhausted, evicts idle clients and waits."""
         exhausted = error.errno in RESOURCE_EXHAUSTED
         log_rate_limited(
             "descriptors-exhausted" if exhausted else "accept-failed",
@@ -148,7 +151,7 @@
             await trio.sleep(EXHAUSTED_DELAY)
 
     def _accept_one(self, listener: socket.socket) -> None:
-        """Accepts one connection and adds it to the table at once, before its task first runs.
+        """Accepts one connection and adds it to the table immediately, before its task first runs.
 
         Raises BlockingIOError if none is pending, and OSError if accept(2) fails.
         """
@@ -166,7 +169,7 @@
         self._spawn(partial(self._serve, sock, client))
 
     async def _serve(self, sock: socket.socket, client: ClientConnection) -> None:
-        """Serves one client connection to its end."""
+        """Serves one client connection until it ends."""
         with sock:
             try:
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -177,10 +180,11 @@
                 self.clients.discard(client)
 
     def _evict_idle(self) -> bool:
-        """Closes clients that never sent anything, else those idle for longest; returns whether it could.
+        """Closes clients that never sent anything, else the longest idle; returns whether any qualified.
 
-        Clients are half-closed first and closed by a later call, so that one that is just sending a request
-        sees an orderly end instead of a reset. While half-closed clients remain, no others are chosen.
+        Clients are half-closed first and closed by a later call, so that a client that is just sending a
+        request sees an orderly end instead of a reset. While half-closed clients remain, no others are
+        chosen.
         """
         now = self._clock.now()
         closing = [client for client in self.clients if client.is_closing() and client.is_quiet()]
@@ -196,11 +200,11 @@
         return bool(candidates)
 
     def _silent_clients(self, now: float) -> list[ClientConnection]:
-        """Clients that have sent nothing since they connected, `MIN_SILENT_TIME` ago or earlier."""
+        """Returns the clients that connected at least `MIN_SILENT_TIME` ago and have sent nothing since."""
         used_before = now - MIN_SILENT_TIME
         return [client for client in self.clients if client.silent and client.last_used <= used_before]
 
     def _idle_clients(self, now: float) -> list[ClientConnection]:
-        """Clients without open requests since `MIN_IDLE_TIME` ago or earlier."""
+        """Returns the clients that have had no open request for at least `MIN_IDLE_TIME`."""
         used_before = now - MIN_IDLE_TIME
         return [client for client in self.clients if client.is_idle() and client.last_used <= used_before]
--- a/edge_router/server/config_takeover.py
+++ b/edge_router/server/config_applier.py
@@ -1,4 +1,4 @@
-"""Applies the limits of a configuration, at startup and at a reload."""
+"""Applies a configuration to the running router: the limits at startup, and what may change at a reload."""
 
 from __future__ import annotations
 
@@ -11,12 +11,13 @@
 from edge_router.runtime.memory_budget import MemoryBudget
 from edge_router.server.client_acceptor import MIN_CLIENTS, ClientAcceptor
 
-BUFFER_MEMORY_SHARE = 0.25  # part of the memory limit for buffered requests and responses, which are copied
-FIXED_FIELDS = ("transfer_bandwidth", "settings")  # fields of the configuration that only a restart changes
+# Fraction of the memory limit for buffered requests and responses. It is small because they are also copied.
+BUFFER_MEMORY_SHARE = 0.25
+RESTART_FIELDS = ("transfer_bandwidth", "settings")  # fields of `RouterConfig` that only a restart changes
 
 
-class ConfigTakeover:
-    """Shares the limits out to the parts of the router."""
+class ConfigApplier:
+    """Passes the values of a configuration to the parts of the router that enforce them."""
 
     def __init__(
         self,
@@ -33,26 +34,26 @@
         self._change_log = change_log
 
     def apply_limits(self, config: RouterConfig) -> None:
-        """Applies the limits of sockets, memory and CPU."""
+        """Applies the limits on sockets, memory and CPU."""
         self._acceptor.max_clients = max(MIN_CLIENTS, config.max_sockets // 2)
         self._budget.limit = config.memory_mb * BUFFER_MEMORY_SHARE * 1e6
         self._router.dispatcher.pool.max_connections = connection_limit(config.max_sockets)
         self._router.admission.cpu_credit.set_share(config.cpu_cores)
 
     def reload(self, config: RouterConfig) -> None:
-        """Applies what can change while requests go on: the limits and the address of the change log.
+        """Applies what can change without a restart: the limits and the address of the change log.
 
         Raises ForeignConfigError, and applies nothing, if the configuration is that of another router.
         """
         check_same_router(self._initial, config)
-        fixed = [name for name in FIXED_FIELDS if getattr(config, name) != getattr(self._initial, name)]
+        unapplied = [name for name in RESTART_FIELDS if getattr(config, name) != getattr(self._initial, name)]
         log(
             "configuration-reloaded",
             change_log=":".join(map(str, config.change_log_address)),
             max_sockets=config.max_sockets,
             memory_mb=config.memory_mb,
             cores=config.cpu_cores,
-            waits_for_restart=",".join(fixed) or "nothing",
+            waits_for_restart=",".join(unapplied) or "nothing",
         )
         self.apply_limits(config)
         self._change_log.set_address(*config.change_log_address)
--- a/edge_router/server/graceful_shutdown.py
+++ b/edge_router/server/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown after SIGTERM: completes or answers all requests well before the platform's SIGKILL."""
+"""Graceful shutdown: completes or rejects all requests before the platform follows SIGTERM with SIGKILL."""
 
 from __future__ import annotations
 
@@ -16,22 +16,23 @@
 from edge_router.transport.close_reason import CloseReason
 
 ACCEPT_GRACE_PERIOD = 0.8  # seconds after SIGTERM during which new connections and requests are accepted
-KILL_DELAY = 0.7  # seconds between the longest deadline, counted from SIGTERM, and SIGKILL
-MAX_COUNTED_DEADLINE = 3.0  # seconds; a longer deadline counts as this one
-KILL_MARGIN = 0.5  # seconds before SIGKILL at which all requests are answered
-FINAL_ACCEPT_TIME = 0.1  # seconds beyond that for pending connections whose accept(2) failed
-FINAL_WRITE_TIME = 0.3  # seconds left then to send the last responses
+# The platform sends SIGKILL this long after the longest deadline of any class, counted from SIGTERM. Seconds.
+KILL_DELAY = 0.7
+MAX_COUNTED_DEADLINE = 3.0  # seconds; the platform counts a longer deadline as this one
+KILL_MARGIN = 0.5  # seconds before SIGKILL by which all requests are answered
+FINAL_ACCEPT_TIME = 0.1  # further seconds during which a failed accept(2) of a pending connection is retried
+FINAL_WRITE_TIME = 0.3  # seconds to send the last responses, after all requests are answered
 POLL_INTERVAL = 0.01  # seconds
 
 
 def shutdown_time_limit(settings: Settings) -> float:
-    """Seconds after SIGTERM by which all requests are answered."""
+    """Returns the seconds after SIGTERM within which all requests are answered."""
     longest = max(request_class.deadline for request_class in settings.classes) / 1000.0
     return min(longest, MAX_COUNTED_DEADLINE) + KILL_DELAY - KILL_MARGIN
 
 
 class GracefulShutdown:
-    """The steps from SIGTERM to the point where the process may end."""
+    """Runs the steps from SIGTERM to the point where the process may exit."""
 
     def __init__(
         self,
@@ -46,7 +47,7 @@
         self._frontend = frontend
         self._router = router
         self._acceptor = acceptor
-        self._end: float | None = None  # second of trio's clock by which all requests are answered
+        self._end: float | None = None  # time by which all requests are answered, in seconds of trio's clock
 
     @property
     def started(self) -> bool:
@@ -54,7 +55,7 @@
         return self._end is not None
 
     def start(self, signal_name: str) -> None:
-        """Starts the time limit; `run` is to be called next."""
+        """Starts the time limit; the caller then calls `run`."""
         log(
             "shutdown-started",
             signal=signal_name,
@@ -64,9 +65,9 @@
         self._end = trio.current_time() + self._time_limit
 
     async def run(self, listener: socket.socket) -> None:
-        """Accepts for the grace period, completes open requests, and rejects the rest at the time limit.
+        """Accepts clients for the grace period, completes open requests, and rejects the rest at the limit.
 
-        Closes the listener. May be called again if it raised; the time limit stays that of `start`.
+        Closes the listener. If it raises, it may be called again: the time limit still counts from `start`.
         """
         assert self._end is not None, "start() comes first"
         end = self._end
@@ -74,32 +75,32 @@
         self._router.admission.latest_deadline = self._clock.now() + (end - trio.current_time()) * 1000.0
         await trio.sleep_until(end - self._time_limit + min(ACCEPT_GRACE_PERIOD, self._time_limit))
         await self._close_listener(listener, end)
-        while trio.current_time() < end and not self._is_complete():
+        while trio.current_time() < end and not self._try_complete():
             await trio.sleep(POLL_INTERVAL)
         self._router.expire_all()
         with trio.move_on_after(FINAL_WRITE_TIME):
-            while not self._is_complete():
+            while not self._try_complete():
                 await trio.sleep(POLL_INTERVAL)
         log("shutdown-complete", open=len(self._router.requests))
 
     async def _close_listener(self, listener: socket.socket, end: float) -> None:
-        """Closes the listener after all pending connections are accepted: closing it resets the others."""
+        """Closes the listener once no connection is pending: closing it would reset pending connections."""
         while trio.current_time() < end and _has_pending_connection(listener):
             await trio.sleep(POLL_INTERVAL)
         self._acceptor.stop()
-        # Lets the accept loop end, which may be about to wait for the listener.
+        # Lets the accept loop see its cancellation, as it must not wait for a listener that is closed.
         await trio.lowlevel.checkpoint()
         await self._acceptor.accept_remaining(listener, end + FINAL_ACCEPT_TIME)
         listener.close()
 
-    def _is_complete(self) -> bool:
-        """Half-closes idle clients; returns whether no client and no unanswered request is left."""
+    def _try_complete(self) -> bool:
+        """Half-closes idle clients; returns whether no client and no unanswered request remains."""
         self._acceptor.close_all_idle(CloseReason.SHUTDOWN)
         return not self._acceptor.clients and all(request.answered for request in self._router.requests)
 
 
 def _has_pending_connection(listener: socket.socket) -> bool:
-    """Whether a connection waits to be accepted."""
+    """Returns whether a connection waits to be accepted."""
     poll = select.poll()
     poll.register(listener, select.POLLIN)
     return bool(poll.poll(0))
--- a/edge_router/server/main.py
+++ b/edge_router/server/main.py
@@ -1,4 +1,4 @@
-"""Entry point of the edge router: configuration, listening socket, garbage collector, exit status."""
+"""Entry point of the edge router: reads the configuration, opens the listener and runs the server."""
 
 from __future__ import annotations
 
@@ -16,12 +16,13 @@
 
 EXIT_OK = 0
 EXIT_CANNOT_START = 2
-GC_THRESHOLDS = (20_000, 20, 20)  # requests leave few reference cycles, so they are searched for seldom
+# Higher than Python's defaults: requests leave few reference cycles, so collections can be rare.
+GC_THRESHOLDS = (20_000, 20, 20)
 
 
 def main() -> int:
     """Runs the router until a signal stops it; returns the exit status."""
-    signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)  # they stay pending until the handlers are set
+    signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)  # pending until the server handles them
     try:
         config = load_config()
     except ConfigError as error:
@@ -45,14 +46,14 @@
 
 
 def _tune_garbage_collector() -> None:
-    """Exempts the objects of the startup from collection and makes collections rarer."""
+    """Exempts the objects created at startup from garbage collection and makes collections rarer."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
 
 
 def _check_descriptors() -> None:
-    """Opens and closes what the event loop is about to open; raises OSError without free descriptors."""
+    """Opens and closes the descriptors that the event loop needs; raises OSError if none are free."""
     select.epoll().close()
     for sock in socket.socketpair():
         sock.close()
--- a/edge_router/server/memory_gauge.py
+++ b/edge_router/server/memory_gauge.py
@@ -1,4 +1,4 @@
-"""Resident memory of the process, read without opening a file each time."""
+"""Resident memory of the process, from /proc/self/statm."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 import resource
 
 STATM_PATH = "/proc/self/statm"
-RESIDENT_PAGES = 1  # index of the field in proc(5)
+RESIDENT_FIELD = 1  # index in statm, see proc(5); the value is in pages
 MAX_STATM_BYTES = 256
 NO_DESCRIPTOR = -1
 
 
 class MemoryGauge:
-    """Reads statm through a descriptor that stays open, so that it works at the limit of descriptors too."""
+    """Reads statm through a descriptor that stays open, so that reading works without free descriptors."""
 
     def __init__(self) -> None:
         self._descriptor = NO_DESCRIPTOR
@@ -25,11 +25,11 @@
             self._descriptor = os.open(STATM_PATH, os.O_RDONLY)
 
     def resident_mb(self) -> float:
-        """Resident memory in megabytes (10**6 bytes); NaN if the system does not provide it."""
+        """Returns the resident memory in megabytes (10**6 bytes), NaN if the system does not provide it."""
         if self._descriptor == NO_DESCRIPTOR:
             self._open()
         try:
             fields = os.pread(self._descriptor, MAX_STATM_BYTES, 0).split()
-            return int(fields[RESIDENT_PAGES]) * resource.getpagesize() / 1e6
+            return int(fields[RESIDENT_FIELD]) * resource.getpagesize() / 1e6
         except (OSError, ValueError, IndexError):
             return math.nan
--- a/edge_router/server/server.py
+++ b/edge_router/server/server.py
@@ -1,4 +1,4 @@
-"""Composes one edge router from its parts, runs their tasks and handles signals."""
+"""Builds one edge router from its parts, runs their tasks and handles signals."""
 
 from __future__ import annotations
 
@@ -19,19 +19,20 @@
 from edge_router.runtime.memory_budget import MemoryBudget
 from edge_router.runtime.timers import Timers
 from edge_router.server.client_acceptor import ClientAcceptor
-from edge_router.server.config_takeover import ConfigTakeover
+from edge_router.server.config_applier import ConfigApplier
 from edge_router.server.graceful_shutdown import GracefulShutdown
 from edge_router.server.statistics_reporter import StatisticsReporter
 from edge_router.server.supervisor import keep_running
 from edge_router.transport.upstream_channel import ChannelOwner
 from edge_router.transport.upstream_connection import TrioUpstreamChannel
 
-TIMER_GRANULARITY = 0.005  # seconds; timers fire in steps, as each wake-up costs as much as many callbacks
+# Seconds. Timers that are due close together run in one wake-up, which costs as much as many callbacks.
+TIMER_GRANULARITY = 0.005
 HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
 
 class Server:
-    """One edge router."""
+    """One edge router: its parts and the tasks that run them."""
 
     def __init__(self, config: RouterConfig, nursery: trio.Nursery) -> None:
         self._config = config
@@ -61,9 +62,9 @@
             self._spawn,
         )
         self._change_log = ChangeLogWatcher(*config.change_log_address, config.last_sequence, config.seed)
-        self._takeover = ConfigTakeover(config, budget, self._router, self._acceptor, self._change_log)
-        self._takeover.apply_limits(config)
-        self._reloader = Reloader(self._takeover.reload)
+        self._config_applier = ConfigApplier(config, budget, self._router, self._acceptor, self._change_log)
+        self._config_applier.apply_limits(config)
+        self._reloader = Reloader(self._config_applier.reload)
         self._statistics = StatisticsReporter(self._router, self._acceptor, budget)
         self._shutdown = GracefulShutdown(
             config.settings, self._clock, self._frontend, self._router, self._acceptor
@@ -74,7 +75,7 @@
         for event in self._config.initial_events:
             self._router.on_discovery_event(event)
         with trio.open_signal_receiver(*HANDLED_SIGNALS) as signals:
-            # Delivers the signals pending since the start.
+            # Delivers the signals that arrived, and were blocked, since the start of the process.
             signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
             self._start_tasks(listener)
             self._frontend.ready = True
@@ -111,9 +112,10 @@
             self._nursery.start_soon(self._shut_down, listener)
 
     async def _shut_down(self, listener: socket.socket) -> None:
-        """Completes the requests, then ends all tasks."""
+        """Runs the graceful shutdown, then cancels all tasks."""
         await keep_running("drain", partial(self._shutdown.run, listener))
-        # Blocked because the signal receiver restores their default effect before the process has exited.
+        # The signal receiver restores the default handlers before the process exits; a signal that arrives
+        # then would kill the process.
         signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
         self._nursery.cancel_scope.cancel()
 
@@ -121,7 +123,7 @@
         self._earlier_timer_set.set()
 
     async def _run_timers(self) -> None:
-        """Runs the callbacks of timers as they fall due."""
+        """Runs the callbacks of timers when they are due."""
         while True:
             self._earlier_timer_set = trio.Event()
             now = trio.current_time()
@@ -133,7 +135,7 @@
         self._decision_pending.set()
 
     async def _run_decisions(self) -> None:
-        """Decides waiting requests in batches; other tasks run between two batches."""
+        """Makes the decisions for waiting requests in batches; other tasks run between two batches."""
         while True:
             if not self._router.run_decisions():
                 self._decision_pending = trio.Event()
@@ -144,7 +146,7 @@
     def _connect(
         self, owner: ChannelOwner, address: tuple[str, int], connect_timeout: float
     ) -> TrioUpstreamChannel:
-        """Starts a connection to an endpoint; the timeout is in seconds."""
+        """Starts connecting to an endpoint; `connect_timeout` is in seconds."""
         channel = TrioUpstreamChannel(owner, address, connect_timeout, self._clock.now)
         self._spawn(channel.run)
         return channel
--- a/edge_router/server/startup.py
+++ b/edge_router/server/startup.py
@@ -1,4 +1,4 @@
-"""The first steps of the process, retried for a while after transient errors."""
+"""The first steps of the process, which are retried for up to 5 s after transient errors."""
 
 from __future__ import annotations
 
@@ -36,25 +36,26 @@
             last_error = error
             time.sleep(RETRY_DELAY)
         else:
-            if last_error is not None:  # logged only now: an error that stays is one line of the caller's
+            # Logged only after success: the caller reports an error that persists, and one line is enough.
+            if last_error is not None:
                 log("start-delayed", reason=str(last_error), by_ms=(time.monotonic() - started_at) * 1000.0)
             return result
 
 
 def _is_transient(error: Exception) -> bool:
-    """Whether the step may succeed in a moment."""
+    """Returns whether a retry of the step may succeed."""
     if isinstance(error, ConfigUnreadableError):
         return error.errno is not None and error.errno not in PERMANENT_FILE_ERRORS
     return isinstance(error, OSError) and (is_local_shortage(error) or error.errno == errno.EADDRINUSE)
 
 
 def load_config() -> RouterConfig:
-    """Reads the configuration; raises ConfigError."""
+    """Reads the configuration; raises ConfigError if it is invalid or can't be read."""
     return retry_transient_errors(read_config)
 
 
 def open_listener(address: tuple[str, int]) -> socket.socket:
-    """Opens a non-blocking listening socket; raises OSError."""
+    """Opens a non-blocking listening socket at (host, port); raises OSError if that fails."""
 
     def step() -> socket.socket:
         listener = socket.socket()
--- a/edge_router/server/statistics_reporter.py
+++ b/edge_router/server/statistics_reporter.py
@@ -1,4 +1,4 @@
-"""Writes the periodic statistics line."""
+"""Writes the periodic statistics line of the log, the event `stats`."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class StatisticsReporter:
-    """Collects the figures of the process and has them logged with those of the requests."""
+    """Collects the figures of the process and logs them together with the request statistics."""
 
     def __init__(self, router: RequestRouter, acceptor: ClientAcceptor, budget: MemoryBudget) -> None:
         self._router = router
@@ -34,7 +34,11 @@
             self._report(loop_lag, cpu_before)
 
     def _report(self, loop_lag: float, cpu_before: float) -> None:
-        """Logs one line; `loop_lag` and `cpu_before` are in seconds."""
+        """Logs one line.
+
+        `loop_lag` is how late the event loop resumed this task, `cpu_before` the CPU time of the process at
+        the start of the interval, both in seconds.
+        """
         self._router.accounting.log_statistics(
             requests=len(self._router.requests),
             clients=len(self._acceptor.clients),
--- a/edge_router/server/supervisor.py
+++ b/edge_router/server/supervisor.py
@@ -1,4 +1,4 @@
-"""Restarts the tasks of the router after errors, so that none of them ends the process."""
+"""Restarts the tasks of the router after errors, so that no error ends the process."""
 
 from __future__ import annotations
 
