--- a/edge_router/cli/__init__.py
+++ b/edge_router/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: each command imports what it needs when it is called."""
+"""The command line. A command imports its modules when it is called, so that none loads those of another."""
--- a/edge_router/cli/demo.py
+++ b/edge_router/cli/demo.py
@@ -1,4 +1,4 @@
-"""`edge_router demo`: the router among simulated backends, with a commentary while it runs."""
+"""`edge_router demo`: runs the router with simulated backends and prints what happens in each phase."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 CACHES = 3
 PHASES = 4
-WORKERS = 4  # clients at once
+WORKERS = 4  # concurrent clients
 WRITE_INTERVAL = 7  # every seventh request is a write
 OBJECTS = 24
-DRAIN_NOTICE = 0.3  # seconds; the settings give routers 0.25 s to heed a drain
-PURGE_NOTICE = 0.5  # seconds; the settings give routers 0.5 s to heed a purge
-OUTCOMES = {200: "served", 503: "refused"}  # by status; all others failed
+DRAIN_NOTICE = 0.3  # seconds; the settings allow routers 0.25 s to stop sending to a draining cache
+PURGE_NOTICE = 0.5  # seconds; the settings allow routers 0.5 s to apply a purge
+OUTCOMES = {200: "served", 503: "rejected"}  # by status; any other status means "failed"
 
 
 def _print(text: str) -> None:
@@ -28,7 +28,7 @@
 
 
 class Demonstration:
-    """The phases of the demonstration, the answers so far and the problems found."""
+    """Runs the phases of the demonstration; counts the answers and collects the problems."""
 
     def __init__(self, router: LocalRouter, backends: SimulatedBackends, requests: int) -> None:
         self._router, self._backends, self._requests = router, backends, requests
@@ -38,7 +38,7 @@
         self._problems: list[str] = []
 
     def run(self) -> list[str]:
-        """Runs all phases; returns the problems."""
+        """Runs all phases; returns a description of each problem."""
         _print(f"the router is ready, with {CACHES} caches, a parent and an origin")
         self._run_phase(0, "ordinary traffic")
         self._drain()
@@ -49,7 +49,7 @@
         return self._problems
 
     def _run_phase(self, phase: int, title: str) -> None:
-        """Sends one phase's share of the requests, by several clients at once."""
+        """Sends the requests of one phase from several concurrent clients."""
         answers_before = self._outcomes.total()
         numbers = range(phase * self._requests // PHASES, (phase + 1) * self._requests // PHASES)
         workers = [
@@ -60,10 +60,10 @@
         for worker in workers:
             worker.join()
         answers = self._outcomes.total() - answers_before
-        _print(f"{title}: {answers} answers, so far {dict(self._outcomes)}")
+        _print(f"{title}: {answers} answers, total so far {dict(self._outcomes)}")
 
     def _send(self, numbers: range) -> None:
-        """Sends these requests one after the other on one connection; stops at the first without answer."""
+        """Sends these requests one after the other on one connection, until one gets no answer."""
         client = FastCgiClient(self._router.port)
         for number in numbers:
             with self._lock:
@@ -89,7 +89,7 @@
         self._backends.publish_state(cache, EndpointState.DRAINING)
         time.sleep(DRAIN_NOTICE)
         fetches_before = cache.fetches
-        self._run_phase(1, f"{cache.name} drains")
+        self._run_phase(1, f"{cache.name} is draining")
         fetches = cache.fetches - fetches_before
         _print(f"{cache.name} got {fetches} fetches more than 250 ms after the drain was published")
         if fetches:
@@ -100,9 +100,9 @@
         time.sleep(PURGE_NOTICE)
         self._run_phase(2, f"group {GROUP} is purged")
         stale = self._backends.count_stale_answers(purged_at_ms)
-        _print(f"{stale} answers since were older than the purge")
+        _print(f"{stale} answers since then came from copies older than the purge")
         if stale:
-            self._problems.append("an answer was older than a purge")
+            self._problems.append("an answer came from a copy older than the purge")
 
     def _stop_cache(self) -> None:
         cache = self._backends.caches[1]
@@ -120,14 +120,14 @@
         if answers != self._requests:
             self._problems.append(f"{answers} answers to {self._requests} requests")
         if repeated:
-            self._problems.append(f"{repeated} {WRITE_CLASS}s ran twice")
+            self._problems.append(f"{repeated} {WRITE_CLASS}s ran more than once")
         _print(f"{self._requests} requests, {answers} final answers, {repeated} {WRITE_CLASS}s run twice")
         for problem in self._problems:
             _print(f"PROBLEM: {problem}")
 
 
 def run_demo(requests: int) -> int:
-    """Runs the demonstration; returns 0 if each request got its one answer and all rules shown held."""
+    """Runs the demonstration with this many requests; returns the exit status, 0 if there was no problem."""
     backends = SimulatedBackends(CACHES)
     try:
         with LocalRouter([sys.executable, "-m", "edge_router"], backends) as router:
--- a/edge_router/cli/explore.py
+++ b/edge_router/cli/explore.py
@@ -1,4 +1,7 @@
-"""`edge_router explore`: every order of events within stated bounds, on the router's own code."""
+"""`edge_router explore`: runs the model checker, which plays every order of events within stated bounds.
+
+It executes the router's own code, with simulated peers and time.
+"""
 
 from __future__ import annotations
 
@@ -16,32 +19,35 @@
     from edge_router.model_checker.scope import Scope
     from edge_router.model_checker.trace import Trace
 
-MAX_VIOLATIONS_SHOWN = 6
+MAX_VIOLATIONS_SHOWN = 6  # per scope
 
 
 class ExitStatus(IntEnum):
     """Exit statuses of the commands."""
 
-    HELD = 0
+    NO_VIOLATIONS = 0
     VIOLATIONS = 1
-    UNUSABLE = 2  # the arguments or a file can't be used
+    INVALID_INPUT = 2  # arguments are invalid, or a file can't be read
 
 
 @click.group()
 def explore() -> None:
-    """Play every order of events within stated bounds. Ends with 0: all held, 1: violated, 2: unusable."""
+    """Check the router's properties in every order of events within stated bounds.
+
+    Exit status 0: no violation, 1: violations found, 2: invalid arguments or an unreadable file.
+    """
 
 
-def _processes(wanted: int) -> int:
-    return wanted or min(8, len(os.sched_getaffinity(0)))
+def _process_count(requested: int) -> int:
+    return requested or min(8, len(os.sched_getaffinity(0)))
 
 
-def _unusable(message: str) -> NoReturn:
+def _exit_invalid_input(message: str) -> NoReturn:
     click.echo(f"edge_router explore: {message}", err=True)
-    sys.exit(ExitStatus.UNUSABLE)
+    sys.exit(ExitStatus.INVALID_INPUT)
 
 
-def _line(scope: str, result: Result) -> str:
+def _summary_line(scope: str, result: Result) -> str:
     rate = result.states / result.seconds if result.seconds else 0.0
     return (
         f"scope={scope} states={result.states} transitions={result.transitions} depth={result.depth} "
@@ -49,16 +55,18 @@
     )
 
 
-def _show(scope_name: str, result: Result, scopes: tuple[Scope, ...], folder: Path | None) -> None:
-    """Prints the first violation of each property, and saves its trace."""
+def _report_violations(
+    scope_name: str, result: Result, scopes: tuple[Scope, ...], folder: Path | None
+) -> None:
+    """Prints the first violation of each property, and saves its trace in the folder if there is one."""
     from edge_router.model_checker.scope import named
     from edge_router.model_checker.trace import Trace, model_factory, shrink
 
-    shown: set[str] = set()
+    reported: set[str] = set()
     for found in result.found:
-        if found.violation.property_name in shown or len(shown) >= MAX_VIOLATIONS_SHOWN:
+        if found.violation.property_name in reported or len(reported) >= MAX_VIOLATIONS_SHOWN:
             continue
-        shown.add(found.violation.property_name)
+        reported.add(found.violation.property_name)
         if scope_name in ("channel", "codecs"):
             click.echo(
                 f"  {found.violation.property_name}: {found.violation.detail}: {' / '.join(found.steps)}"
@@ -72,28 +80,34 @@
             folder.mkdir(parents=True, exist_ok=True)
             path = folder / f"{scope_name}-{found.violation.property_name}.json"
             path.write_text(trace.to_json())
-            click.echo(f"  kept as {path}")
+            click.echo(f"  saved as {path}")
 
 
 @explore.command("run")
 @click.option(
-    "--scope", "scope_name", default="small", show_default=True, help="small, full, or one of their parts."
+    "--scope", "scope_name", default="small", show_default=True, help="small, full, or the name of one scope."
+)
+@click.option(
+    "--processes", default=0, type=click.IntRange(0, 64), help="Worker processes; 0: one per core, at most 8."
 )
-@click.option("--processes", default=0, type=click.IntRange(0, 64), help="0: all cores, at most 8.")
 @click.option(
     "--save",
     type=click.Path(path_type=Path, dir_okay=False),
-    help="Save the frontier here from time to time; continue from it if it exists.",
+    help="Save the frontier to files with this prefix, and continue from them if they exist.",
 )
 @click.option(
     "--save-every",
     default=20.0,
     show_default=True,
     type=click.FloatRange(0.0),
-    help="Seconds between two saved frontiers.",
+    help="Seconds between two saves of the frontier.",
+)
+@click.option(
+    "--traces", type=click.Path(path_type=Path, file_okay=False), help="Save counterexamples in this folder."
+)
+@click.option(
+    "--depth", type=click.IntRange(1, 60), help="Maximum number of steps; only with a single scope."
 )
-@click.option("--traces", type=click.Path(path_type=Path, file_okay=False), help="Save counterexamples here.")
-@click.option("--depth", type=click.IntRange(1, 60), help="Another depth, for one part.")
 def run_command(
     scope_name: str,
     processes: int,
@@ -102,7 +116,7 @@
     traces: Path | None,
     depth: int | None,
 ) -> None:
-    """Explore a scope exhaustively."""
+    """Explore a scope, or a set of scopes, exhaustively."""
     from edge_router.model_checker.expander import WorkerPool
     from edge_router.model_checker.frontier import SavedFrontierError
     from edge_router.model_checker.mutation_run import explore_all
@@ -115,69 +129,74 @@
             else (named(SCOPES["small"] + SCOPES["full"], scope_name),)
         )
     except KeyError:
-        parts = ", ".join(scope.name for scope in SCOPES["full"])
-        _unusable(f"no scope {scope_name!r}; there are small, full, and their parts {parts}")
+        names = ", ".join(scope.name for scope in SCOPES["full"])
+        _exit_invalid_input(f"unknown scope {scope_name!r}; expected small, full or one of {names}")
     if depth is not None:
         if scope_name in SCOPES:
-            _unusable("--depth goes with one part of a scope")
+            _exit_invalid_input("--depth needs a single scope, not small or full")
         scopes = (scopes[0].with_bounds(depth=depth),)
 
     def report(name: str, result: Result) -> None:
-        note = "" if result.complete else " (given up: not all was played)"
+        note = "" if result.complete else " (incomplete: stopped at the time limit)"
         click.echo(
             f"{name:10} {result.states:9} states {result.transitions:9} transitions "
             f"{result.seconds:6.1f} s  {len(result.found)} violations{note}"
         )
-        _show(name, result, scopes, traces)
+        _report_violations(name, result, scopes, traces)
 
-    began = time.monotonic()
+    started_at = time.monotonic()
     try:
-        with WorkerPool(_processes(processes)) as workers:
+        with WorkerPool(_process_count(processes)) as workers:
             total = explore_all(scopes, workers, save, report, save_every)
     except SavedFrontierError as error:
-        _unusable(str(error))
-    total.seconds = time.monotonic() - began
-    click.echo(_line(scope_name, total))
-    sys.exit(ExitStatus.VIOLATIONS if total.found else ExitStatus.HELD)
+        _exit_invalid_input(str(error))
+    total.seconds = time.monotonic() - started_at
+    click.echo(_summary_line(scope_name, total))
+    sys.exit(ExitStatus.VIOLATIONS if total.found else ExitStatus.NO_VIOLATIONS)
 
 
 @explore.command("seeded")
-@click.option("--only", multiple=True, help="Names of faults; all without.")
-@click.option("--processes", default=0, type=click.IntRange(0, 64), help="0: all cores, at most 8.")
+@click.option("--only", multiple=True, help="Name of a mutation; may be repeated. [default: all]")
+@click.option(
+    "--processes", default=0, type=click.IntRange(0, 64), help="Worker processes; 0: one per core, at most 8."
+)
 def seeded_command(only: tuple[str, ...], processes: int) -> None:
-    """Plant mutations one after the other, and show which property finds each."""
+    """Plant each mutation in the router's code, and print which property it violates."""
     from edge_router.model_checker.mutation_run import search_mutations
     from edge_router.model_checker.mutations import MUTATIONS
 
     names = [mutation.name for mutation in MUTATIONS]
     if unknown := [name for name in only if name not in names]:
-        _unusable(f"no fault {unknown[0]!r}")
-    began = time.monotonic()
-    found = search_mutations(list(only) or names, _processes(processes))
+        _exit_invalid_input(f"unknown mutation {unknown[0]!r}")
+    started_at = time.monotonic()
+    results = search_mutations(list(only) or names, _process_count(processes))
     from rich.console import Console
     from rich.table import Table
 
-    table = Table("fault", "found by", "in", "states", "steps", "seconds")
-    for caught in found:
-        by = (
-            caught.found.violation.property_name
-            if caught.found
-            else f"crash: {caught.crash}"
-            if caught.crash
+    table = Table("mutation", "found by", "scope", "states", "steps", "seconds")
+    for result in results:
+        found_by = (
+            result.found.violation.property_name
+            if result.found
+            else f"crash: {result.crash}"
+            if result.crash
             else "nothing"
         )
         table.add_row(
-            caught.name,
-            by,
-            caught.where or "-",
-            str(caught.states),
-            str(len(caught.found.steps)) if caught.found else "-",
-            f"{caught.seconds:.1f}",
+            result.name,
+            found_by,
+            result.where or "-",
+            str(result.states),
+            str(len(result.found.steps)) if result.found else "-",
+            f"{result.seconds:.1f}",
         )
     Console(width=120).print(table)
-    missed = [caught.name for caught in found if caught.found is None]
-    click.echo(f"seeded={len(found)} found={len(found) - len(missed)} seconds={time.monotonic() - began:.1f}")
-    sys.exit(ExitStatus.VIOLATIONS if missed else ExitStatus.HELD)
+    missed = [result.name for result in results if result.found is None]
+    click.echo(
+        f"seeded={len(results)} found={len(results) - len(missed)} "
+        f"seconds={time.monotonic() - started_at:.1f}"
+    )
+    sys.exit(ExitStatus.VIOLATIONS if missed else ExitStatus.NO_VIOLATIONS)
 
 
 @explore.command("walk")
@@ -187,65 +206,81 @@
     default=3000,
     show_default=True,
     type=click.IntRange(10, 1_000_000),
-    help="At most so many in each walk.",
+    help="Maximum number of steps in each walk.",
+)
+@click.option(
+    "--seed",
+    default=1,
+    show_default=True,
+    type=int,
+    help="Random seed of the first walk; each further walk uses the next number.",
+)
+@click.option(
+    "--processes", default=0, type=click.IntRange(0, 64), help="Worker processes; 0: one per core, at most 8."
+)
+@click.option(
+    "--traces", type=click.Path(path_type=Path, file_okay=False), help="Save counterexamples in this folder."
 )
-@click.option("--seed", default=1, show_default=True, type=int, help="Chance seed of the first walk.")
-@click.option("--processes", default=0, type=click.IntRange(0, 64), help="0: all cores, at most 8.")
-@click.option("--traces", type=click.Path(path_type=Path, file_okay=False), help="Save counterexamples here.")
 def walk_command(walks: int, steps: int, seed: int, processes: int, traces: Path | None) -> None:
-    """Walk at random beyond the bounds, from fixed seeds."""
+    """Run random walks beyond the bounds of the scopes; the same seeds give the same walks."""
     from edge_router.model_checker.mutation_run import random_walks_in_parallel
     from edge_router.model_checker.results import Result
     from edge_router.model_checker.scope import WALK
 
-    began = time.monotonic()
-    done = random_walks_in_parallel(seed, walks, steps, _processes(processes))
-    _show(WALK.name, Result(found=done.found), (WALK,), traces)
+    started_at = time.monotonic()
+    totals = random_walks_in_parallel(seed, walks, steps, _process_count(processes))
+    _report_violations(WALK.name, Result(found=totals.found), (WALK,), traces)
     click.echo(
-        f"walks={done.walks} steps={done.steps} kinds={len(done.words)} violations={len(done.found)} "
-        f"seconds={time.monotonic() - began:.1f}"
+        f"walks={totals.walks} steps={totals.steps} kinds={len(totals.words)} violations={len(totals.found)} "
+        f"seconds={time.monotonic() - started_at:.1f}"
     )
-    sys.exit(ExitStatus.VIOLATIONS if done.found else ExitStatus.HELD)
+    sys.exit(ExitStatus.VIOLATIONS if totals.found else ExitStatus.NO_VIOLATIONS)
 
 
-def _read(path: Path) -> Trace:
+def _read_trace(path: Path) -> Trace:
     from edge_router.model_checker.trace import Trace
 
     try:
         return Trace.read(path)
     except (OSError, ValueError) as error:
-        _unusable(f"{path}: {error}")
+        _exit_invalid_input(f"{path}: {error}")
 
 
 @explore.command("replay")
 @click.argument("file", type=click.Path(path_type=Path, dir_okay=False))
-@click.option("--chart", type=click.Path(path_type=Path, dir_okay=False), help="Draw it, as .svg or .png.")
+@click.option(
+    "--chart",
+    type=click.Path(path_type=Path, dir_okay=False),
+    help="Draw the trace to this .svg or .png file.",
+)
 def replay_command(file: Path, chart: Path | None) -> None:
-    """Replay a saved trace, and print its steps. Ends with 1 if they still violate the property."""
-    trace = _read(file)
+    """Replay a saved trace and print its steps. Exits with 1 if they still violate the property."""
+    trace = _read_trace(file)
     _, violations = trace.replay()
     click.echo(trace.report())
     if chart is not None:
         from edge_router.model_checker.chart import draw
 
         if chart.suffix not in (".svg", ".png"):
-            _unusable(f"{chart}: a chart is .svg or .png")
+            _exit_invalid_input(f"{chart}: the file name of a chart must end in .svg or .png")
         draw(trace, chart)
-        click.echo(f"drawn in {chart}")
-    sys.exit(ExitStatus.VIOLATIONS if violations else ExitStatus.HELD)
+        click.echo(f"chart written to {chart}")
+    sys.exit(ExitStatus.VIOLATIONS if violations else ExitStatus.NO_VIOLATIONS)
 
 
 @explore.command("report")
-@click.option("--lines/--no-lines", default=True, help="List the lines that were not executed.")
+@click.option(
+    "--lines/--no-lines", default=True, help="List the lines that were not executed, with the reason."
+)
 @click.option(
     "--depth",
     default=5,
     show_default=True,
     type=click.IntRange(1, 12),
-    help="To this depth in each part of the small scope.",
+    help="Maximum number of steps in each scope of the small set.",
 )
 def report_command(lines: bool, depth: int) -> None:
-    """Print the properties, the hard cases, and which lines and branches of the core were executed."""
+    """Print the properties, the hard cases, and how much of the router's core an exploration executes."""
     from edge_router.model_checker.reach import report
 
     for line in report(depth, lines):
--- a/edge_router/cli/main.py
+++ b/edge_router/cli/main.py
@@ -1,4 +1,4 @@
-"""`edge_router`: the router itself, the model checker, the fault injection and the demonstration."""
+"""The commands of `edge_router`: the router, the model checker, the fault injection and a demonstration."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @cli.command()
 def run() -> None:
-    """Start one edge router, configured by the file that RELAY_CONFIG names."""
+    """Run one edge router, configured by the file that RELAY_CONFIG names."""
     from edge_router.server.main import main as serve
 
     sys.exit(serve())
@@ -29,10 +29,10 @@
     default=300,
     show_default=True,
     type=click.IntRange(10, 5000),
-    help="How many requests are sent.",
+    help="Number of requests to send.",
 )
 def demo(requests: int) -> None:
-    """Run the router among simulated backends: a drain, a purge and a cache that fails, with a commentary."""
+    """Run the router with simulated backends: a drain, a purge, a cache failure and a shutdown."""
     from edge_router.cli.demo import run_demo
 
     sys.exit(run_demo(requests))
@@ -43,5 +43,5 @@
 
 
 def main() -> None:
-    """Entry point of the console script; ends with 2 where arguments can't be used."""
+    """Entry point of the console script; exits with status 2 if the arguments are invalid."""
     cli()
--- a/edge_router/cli/soak.py
+++ b/edge_router/cli/soak.py
@@ -1,4 +1,4 @@
-"""`edge-router soak`: runs randomized faults around real router processes and judges what was observed."""
+"""`edge-router soak`: injects random faults around real router processes and checks what was observed."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from edge_router.fault_injection.observations import Observations
 
-MAX_HARNESS_DELAY = 0.1  # seconds; a run in which the clients sent later than this proves nothing
+MAX_HARNESS_DELAY = 0.1  # seconds; if the clients send a request later than this, the run is inconclusive
 
 
 class ExitStatus(IntEnum):
@@ -35,13 +35,15 @@
 
 
 @click.command()
-@click.option("--seed", default=1, show_default=True, help="The first seed; it fixes settings and faults.")
+@click.option(
+    "--seed", default=1, show_default=True, help="First seed; a seed determines settings and faults."
+)
 @click.option(
     "--runs",
     default=1,
     show_default=True,
     type=click.IntRange(1, 1000),
-    help="How many seeds are played, one after the other.",
+    help="Number of seeds to run, one after the other.",
 )
 @click.option("--seconds", default=20.0, show_default=True, type=click.FloatRange(8.0, 600.0))
 @click.option("--routers", default=6, show_default=True, type=click.IntRange(1, 20))
@@ -51,25 +53,25 @@
     default=20.0,
     show_default=True,
     type=click.FloatRange(1.0, 100.0),
-    help="Requests a second at each router, in the mean.",
+    help="Mean number of requests per second at each router.",
 )
 @click.option(
     "--keep",
     type=click.Path(path_type=Path),
-    help="A folder in which configurations and logs are left, by seed.",
+    help="Keep the configurations and logs in this folder, by seed.",
 )
 def soak(
     seed: int, runs: int, seconds: float, routers: int, caches: int, rate: float, keep: Path | None
 ) -> None:
-    """Play routers, caches and clients as real processes while clocks, calls, peers and processes fail.
+    """Run routers, caches and clients as real processes while clocks, system calls, peers and processes fail.
 
-    Exits with 1 if any rule was broken, with 3 if a run was too late to prove anything.
+    Exits with 1 if any rule was violated, with 3 if the clients of a run sent too late for a conclusion.
     """
     from edge_router.fault_injection.harness import run_scenario
     from edge_router.fault_injection.oracle import find_violations
     from edge_router.fault_injection.scenario import draw_scenario
 
-    violated = delayed = False
+    violated = inconclusive = False
     for number in range(seed, seed + runs):
         scenario = draw_scenario(number, seconds, routers, caches, rate)
         observations = run_scenario(scenario, keep / str(number) if keep else None)
@@ -80,7 +82,7 @@
         if violations:
             click.echo("\n".join(f"  {fault.text()}" for fault in scenario.faults))
         violated |= bool(violations)
-        delayed |= observations.max_harness_delay > MAX_HARNESS_DELAY
+        inconclusive |= observations.max_harness_delay > MAX_HARNESS_DELAY
     if violated:
         sys.exit(ExitStatus.VIOLATIONS)
-    sys.exit(ExitStatus.INCONCLUSIVE if delayed else ExitStatus.PASSED)
+    sys.exit(ExitStatus.INCONCLUSIVE if inconclusive else ExitStatus.PASSED)
