--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements, each a program of its own; the last line is `key=value ...`, `--short` ends soon."""
+"""Benchmark programs. The last line of output is `key=value ...`; `--short` makes a run shorter."""
--- a/benchmarks/explore.py
+++ b/benchmarks/explore.py
@@ -1,6 +1,9 @@
-"""Cost and savings of the model checker's techniques, each against the plain way in the same run.
+"""Measures the model checker's techniques, each against its simpler alternative in the same run.
 
-python -m benchmarks.explore [--short]
+    python -m benchmarks.explore [--short]
+
+Compared are three ways to restore a state, two sets of visited states, searches with and without sleep sets,
+and numbers of worker processes. A full run also measures the time to find each mutation.
 """
 
 from __future__ import annotations
@@ -21,12 +24,13 @@
 from edge_router.model_checker.trace import model_factory
 from edge_router.model_checker.visited import FingerprintSet, PlainSet, Visited
 
+# By scope: the depth of a short and of a full run, in steps.
 DEPTHS = {"links": (6, 8), "clients": (6, 7), "drain": (5, 7), "confirm": (7, 9)}
 
 
-def _play(name: str, depth: int, processes: int = 1, **options: object) -> Result:
+def _explore(name: str, depth: int, processes: int = 1, **options: object) -> Result:
     with WorkerPool(processes) as workers:
-        # A first run, so that the processes are up.
+        # Starts the worker processes, so that their start is not measured.
         mutation_run.explore(named(SMALL, name).with_bounds(depth=2), workers, Options())
         return mutation_run.explore(named(SMALL, name).with_bounds(depth=depth), workers, Options(**options))  # type: ignore[arg-type]
 
@@ -39,9 +43,9 @@
     )
 
 
-def copies() -> dict[str, float]:
-    """Microseconds to restore a state, by technique and depth."""
-    found = {}
+def measure_restoring() -> dict[str, float]:
+    """Returns the microseconds to restore a state, by technique and number of steps."""
+    figures = {}
     start = model_factory(named(SMALL, "links"))
     for steps in (("ask 0",), ("ask 0", "decide", "up c1.0", "wait", "fire", "up c1.1")):
         copiers: dict[str, StateCopier] = {
@@ -53,79 +57,90 @@
             copier.capture(run(start, steps), steps)
             times = []
             for _ in range(60):
-                began = time.perf_counter()
+                started_at = time.perf_counter()
                 copier.restore()
-                times.append(time.perf_counter() - began)
-            found[f"{name}_{len(steps)}_us"] = median(times) * 1e6
-            print(f"  back by {name:8} after {len(steps)} steps: {found[f'{name}_{len(steps)}_us']:7.0f} us")
-    return found
-
-
-def sets(count: int) -> dict[str, float]:
-    """Bytes and seconds of the two sets for so many states, taken in by levels."""
-    found = {}
-    chooser = np.random.default_rng(7)
-    prints = chooser.integers(0, 1 << 63, count, dtype=np.uint64)
-    for name, made in (("runs", FingerprintSet()), ("set", PlainSet())):
-        visited: Visited = made
-        began = time.perf_counter()
-        for at in range(0, count, 20_000):
-            visited.add(prints[at : at + 20_000])
-            visited.add(prints[max(0, at - 10_000) : at])
-        seconds = time.perf_counter() - began
-        found[f"{name}_bytes"] = visited.nbytes() / len(visited)
-        found[f"{name}_us"] = seconds / count * 1e6
+                times.append(time.perf_counter() - started_at)
+            figures[f"{name}_{len(steps)}_us"] = median(times) * 1e6
+            print(
+                f"  restored by {name:8} after {len(steps)} steps: "
+                f"{figures[f'{name}_{len(steps)}_us']:7.0f} us"
+            )
+    return figures
+
+
+def measure_visited_sets(count: int) -> dict[str, float]:
+    """Returns bytes and microseconds per state of both sets of visited states, for `count` states.
+
+    States are added in batches. After each, half of the batch before is added again, since a search also
+    reaches states that it has visited.
+    """
+    figures = {}
+    generator = np.random.default_rng(7)
+    fingerprints = generator.integers(0, 1 << 63, count, dtype=np.uint64)
+    for name, empty_set in (("runs", FingerprintSet()), ("set", PlainSet())):
+        visited: Visited = empty_set
+        started_at = time.perf_counter()
+        for start in range(0, count, 20_000):
+            visited.add(fingerprints[start : start + 20_000])
+            visited.add(fingerprints[max(0, start - 10_000) : start])
+        seconds = time.perf_counter() - started_at
+        figures[f"{name}_bytes"] = visited.nbytes() / len(visited)
+        figures[f"{name}_us"] = seconds / count * 1e6
         print(
-            f"  {name:5} {visited.nbytes() / len(visited):6.1f} bytes a state, "
-            f"{seconds / count * 1e6:5.2f} us a state"
+            f"  {name:5} {visited.nbytes() / len(visited):6.1f} bytes per state, "
+            f"{seconds / count * 1e6:5.2f} us per state"
         )
-    return found
+    return figures
 
 
 def main() -> None:
-    """Measures all, and prints one line of figures at the end."""
+    """Runs all measurements, and prints one line of figures at the end."""
     short = "--short" in sys.argv[1:]
-    place = 0 if short else 1
-    print("Ways back to a state:")
-    figures = copies()
-    print("Sets of states:")
-    figures |= sets(100_000 if short else 1_000_000)
-    print("Sleep sets off and on, then a plain set, then copying by replay, all on one core:")
-    saved = []
+    depth_index = 0 if short else 1
+    print("Restoring a state:")
+    figures = measure_restoring()
+    print("Sets of visited states:")
+    figures |= measure_visited_sets(100_000 if short else 1_000_000)
+    print("Sleep sets off and on, then a plain set, then restoring by replay, all in one process:")
+    savings = []
     for name in ("clients", "links") if short else DEPTHS:
-        depth = DEPTHS[name][place]
-        off, on = _play(name, depth, reduce=False), _play(name, depth, reduce=True)
-        saved.append(1 - on.transitions / off.transitions)
+        depth = DEPTHS[name][depth_index]
+        off, on = _explore(name, depth, reduce=False), _explore(name, depth, reduce=True)
+        savings.append(1 - on.transitions / off.transitions)
         print(
             f"  {name:8} off    {_rates(off)}\n  {name:8} on     {_rates(on)}  "
-            f"{saved[-1] * 100:.1f} % fewer transitions, the same states: {off.states == on.states}"
+            f"{savings[-1] * 100:.1f} % fewer transitions, the same states: {off.states == on.states}"
         )
         if name == "links":
-            print(f"  {name:8} set    {_rates(_play(name, depth, plain_set=True))}")
-            replayed = _play(name, depth, copying="replay")
+            print(f"  {name:8} set    {_rates(_explore(name, depth, plain_set=True))}")
+            replayed = _explore(name, depth, copying="replay")
             print(f"  {name:8} replay {_rates(replayed)}")
             figures["pickle_over_replay"] = replayed.seconds / on.seconds
             figures["states_per_s"] = on.states / on.seconds
-            deep = search.depth_first(model_factory(named(SMALL, name)), depth)
-            print(f"  {name:8} depth  {_rates(deep)}")
-    figures["sleep_saved_percent"] = 100 * sum(saved) / len(saved)
-    print("Cores:")
-    one = 0.0
+            depth_first = search.depth_first(model_factory(named(SMALL, name)), depth)
+            print(f"  {name:8} depth  {_rates(depth_first)}")
+    figures["sleep_saved_percent"] = 100 * sum(savings) / len(savings)
+    print("Worker processes:")
+    one_process_seconds = 0.0
     for processes in (1, 8) if short else (1, 2, 4, 8):
         if processes > (os.cpu_count() or 1):
             break
-        result = _play("drain", DEPTHS["drain"][place], processes)
-        one = one or result.seconds
-        figures[f"speedup_{processes}"] = one / result.seconds
-        print(f"  {processes} processes {_rates(result)}  {one / result.seconds:.2f} times as fast")
+        result = _explore("drain", DEPTHS["drain"][depth_index], processes)
+        one_process_seconds = one_process_seconds or result.seconds
+        figures[f"speedup_{processes}"] = one_process_seconds / result.seconds
+        print(
+            f"  {processes} processes {_rates(result)}  "
+            f"{one_process_seconds / result.seconds:.2f} times as fast"
+        )
     if not short:
-        print("Time to each seeded fault, on one core each:")
-        for caught in mutation_run.search_mutations(
+        print("Time to find each mutation, in one process each:")
+        for mutation_result in mutation_run.search_mutations(
             [mutation.name for mutation in mutations.MUTATIONS], min(8, os.cpu_count() or 1)
         ):
             print(
-                f"  {caught.name:32} {caught.seconds:6.2f} s {caught.states:6} states "
-                f"{len(caught.found.steps) if caught.found else 0:3} steps"
+                f"  {mutation_result.name:32} {mutation_result.seconds:6.2f} s "
+                f"{mutation_result.states:6} states "
+                f"{len(mutation_result.found.steps) if mutation_result.found else 0:3} steps"
             )
     print(" ".join(f"{name}={value:.4g}" for name, value in figures.items()))
 
--- a/benchmarks/run_cost.py
+++ b/benchmarks/run_cost.py
@@ -1,9 +1,9 @@
-"""CPU a request and memory at ready of the router, against another checkout, in turns in the same run.
+"""Measures the router's CPU time per request and its memory when ready, against those of another checkout.
 
     python -m benchmarks.run_cost [--short] [--against DIR]
 
-Each checkout is started by the `run` command of its own deploy file. A checkout without an environment of its
-own gets the running interpreter.
+The two checkouts are measured alternately in the same run. Each is started by the `run` command of its deploy
+file; where that names the checkout's virtual environment, the running interpreter is used instead.
 """
 
 from __future__ import annotations
@@ -22,29 +22,29 @@
 from edge_router.fault_injection.local_router import READ_CLASS, LocalRouter
 from edge_router.fault_injection.simulated_backends import SimulatedBackends
 
-HERE = Path(__file__).parent.parent
-CHECKOUT_PYTHON = "exec .venv/bin/python "  # how the command in a deploy file begins
-CLOCK_TICKS = os.sysconf("SC_CLK_TCK")  # a second
-PAGE_SIZE = os.sysconf("SC_PAGE_SIZE")
-WARM_UP_REQUESTS = 200
+THIS_CHECKOUT = Path(__file__).parent.parent
+VENV_PYTHON_PREFIX = "exec .venv/bin/python "  # of the command in a deploy file
+CLOCK_TICKS = os.sysconf("SC_CLK_TCK")  # per second
+PAGE_SIZE = os.sysconf("SC_PAGE_SIZE")  # bytes
+WARM_UP_REQUESTS = 200  # sent before the measurement
 OBJECTS = 20
 CACHES = 3
 
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """What one run of the router cost."""
+    """The measured cost of one run of the router."""
 
-    cpu_us: float  # microseconds of CPU a request
-    resident_mb: float  # resident memory at ready
+    cpu_us: float  # microseconds of CPU time per request
+    resident_mb: float  # resident memory when the router is ready, before any request
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """How much is measured."""
+    """The extent of a measurement."""
 
     rounds: int
-    requests: int
+    requests: int  # per round and checkout
 
 
 SHORT, LONG = Plan(rounds=3, requests=1500), Plan(rounds=9, requests=3000)
@@ -61,10 +61,10 @@
 
 
 def run_command(checkout: Path) -> list[str]:
-    """The command of the checkout's deploy file; raises OSError or KeyError if there is none."""
+    """Returns the command of the checkout's deploy file; raises OSError or KeyError if there is none."""
     command: str = tomllib.loads((checkout / "deploy" / "balancer.toml").read_text())["run"]
-    if command.startswith(CHECKOUT_PYTHON):
-        command = f"exec {shlex.quote(sys.executable)} {command.removeprefix(CHECKOUT_PYTHON)}"
+    if command.startswith(VENV_PYTHON_PREFIX):
+        command = f"exec {shlex.quote(sys.executable)} {command.removeprefix(VENV_PYTHON_PREFIX)}"
     return ["/bin/sh", "-c", command]
 
 
@@ -74,7 +74,7 @@
 
 
 def measure(checkout: Path, requests: int) -> Cost:
-    """Starts the checkout's router once and sends it so many requests, one after the other."""
+    """Starts the checkout's router once and sends it this many requests, one after the other."""
     backends = SimulatedBackends(CACHES)
     try:
         with LocalRouter(run_command(checkout), backends, checkout) as router:
@@ -90,8 +90,8 @@
         backends.close()
 
 
-def measure_in_turns(checkouts: dict[str, Path], plan: Plan) -> dict[str, list[Cost]]:
-    """Measures each checkout once a round, so that load on the machine affects all alike."""
+def measure_alternately(checkouts: dict[str, Path], plan: Plan) -> dict[str, list[Cost]]:
+    """Measures each checkout once per round, so that other load on the machine affects all of them alike."""
     costs: dict[str, list[Cost]] = {name: [] for name in checkouts}
     for _ in range(plan.rounds):
         for name, checkout in checkouts.items():
@@ -107,8 +107,10 @@
         cpu_us, resident_mb = [run.cpu_us for run in runs], [run.resident_mb for run in runs]
         figures[f"{name}_us"], figures[f"{name}_mb"] = median(cpu_us), median(resident_mb)
         print(
-            f"{name:6} CPU a request {min(cpu_us):.0f} to {max(cpu_us):.0f} us, median {median(cpu_us):.0f}; "
-            f"at ready {min(resident_mb):.2f} to {max(resident_mb):.2f} MB, median {median(resident_mb):.2f}"
+            f"{name:6} CPU per request {min(cpu_us):.0f} to {max(cpu_us):.0f} us, "
+            f"median {median(cpu_us):.0f}; "
+            f"when ready {min(resident_mb):.2f} to {max(resident_mb):.2f} MB, "
+            f"median {median(resident_mb):.2f}"
         )
     pairs = list(zip(costs["here"], costs["other"], strict=True))
     figures["cpu_ratio"] = median(here.cpu_us / other.cpu_us for here, other in pairs)
@@ -117,13 +119,15 @@
 
 
 def main() -> None:
-    """Measures in turns and prints the report."""
+    """Measures both checkouts and prints the report."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--short", action="store_true", help="fewer rounds with fewer requests")
-    parser.add_argument("--against", type=Path, default=HERE, help="the other checkout")
+    parser.add_argument(
+        "--against", type=Path, default=THIS_CHECKOUT, help="the other checkout (default: this one)"
+    )
     arguments = parser.parse_args()
-    checkouts = {"other": arguments.against.resolve(), "here": HERE}
-    report(measure_in_turns(checkouts, SHORT if arguments.short else LONG))
+    checkouts = {"other": arguments.against.resolve(), "here": THIS_CHECKOUT}
+    report(measure_alternately(checkouts, SHORT if arguments.short else LONG))
 
 
 if __name__ == "__main__":
