--- a/examples/fake_backends.py
+++ b/examples/fake_backends.py
@@ -1,10 +1,10 @@
-"""Fake backends for one edge router: its caches, which make up the objects, and its change log.
+"""Fake backends for one edge router: its caches, which generate the objects, and its change log.
 
     python examples/fake_backends.py examples/config.json
 
-listens where the configuration says. It stores what was requested in memory (so the second request for an
-object is a hit) and prints a line a fetch. Commands on standard input go into the change log: `drain ID`,
-`up ID`, `purge GROUP`.
+The program listens on the addresses of the caches and of the change log in that configuration. It keeps the
+requested objects in memory, so that the second request for an object is a hit, and prints one line per fetch.
+The commands `drain ID`, `up ID` and `purge GROUP` on standard input add an event to the change log.
 """
 
 from __future__ import annotations
@@ -33,20 +33,20 @@
 )
 
 HEARTBEAT_INTERVAL = 1.0  # seconds
-NO_FIELDS = b"-"
+NO_FIELDS = b"-"  # stands for an empty list of fields
 STATES = {"drain": EndpointState.DRAINING, "up": EndpointState.READY}  # by command
 
 
 @dataclass(frozen=True, slots=True)
 class StoredCopy:
-    """A copy that a cache has stored."""
+    """A copy of an object that a cache has stored."""
 
     etag: str
     created_ms: int  # Unix milliseconds
 
 
 class FakeBackends:
-    """All caches, and the events of the change log so far."""
+    """The state of all caches and of the change log."""
 
     def __init__(self, config: dict[str, Any]) -> None:
         self.endpoints = config["known"]["results"][0]["fleet"]["instances"]
@@ -56,7 +56,7 @@
         self._copies: dict[tuple[str, str, str], StoredCopy] = {}  # by cache, object and part
 
     def frames_after(self, event: int) -> list[bytes]:
-        """The change log's events after that one."""
+        """Returns the frames of the events that follow the event with this sequence number."""
         return self._frames[max(0, event - self._first_event) :]
 
     def _publish(self, frame_type: FrameType, payload: bytes) -> None:
@@ -64,7 +64,7 @@
         self._frames.append(encode_frame(self.last_event, frame_type, payload))
 
     def run_command(self, line: str) -> None:
-        """Carries out a line of standard input."""
+        """Runs a command line from standard input."""
         command, _, value = line.strip().partition(" ")
         endpoint = next((entry for entry in self.endpoints if entry["instanceId"] == value), None)
         if command == "purge" and value.isdigit():
@@ -87,23 +87,29 @@
         )
 
     def respond(self, cache: str, command: list[bytes]) -> bytes:
-        """A cache's response to a command; empty for an `abort`."""
+        """Returns a cache's response to a command; it is empty for an `abort`."""
         if command[0] == b"alive":
             return encode_array(command[1], b"alive", NO_FIELDS, b"")
         if command[0] != b"fetch":
             return b""
         fields = decode_fields(command[2])
-        name = (cache, fields["item"], fields["chunk"])
-        note = "hit" if name in self._copies else "filled" if "from" in fields else None
+        key = (cache, fields["item"], fields["chunk"])
+        fill_result = "hit" if key in self._copies else "filled" if "from" in fields else None
         print(
-            f"{cache} {fields['cls']} {fields['item']} part {fields['chunk']}: {note or 'miss'}", flush=True
+            f"{cache} {fields['cls']} {fields['item']} part {fields['chunk']}: {fill_result or 'miss'}",
+            flush=True,
         )
-        if note is None:
+        if fill_result is None:
             return encode_array(command[1], b"404", NO_FIELDS, b"")
-        copy = self._copies.get(name) or StoredCopy(f"{hash(name) & 0xFFFFFFFF:08x}", int(time.time() * 1000))
+        copy = self._copies.get(key) or StoredCopy(f"{hash(key) & 0xFFFFFFFF:08x}", int(time.time() * 1000))
         if self._is_cacheable(fields):
-            self._copies[name] = copy
-        headers = {"ver": copy.etag, "born": copy.created_ms, "tell": note, "meter": "inflight:1;util:0.1"}
+            self._copies[key] = copy
+        headers = {
+            "ver": copy.etag,
+            "born": copy.created_ms,
+            "tell": fill_result,
+            "meter": "inflight:1;util:0.1",
+        }
         if fields.get("seen") == copy.etag:
             return encode_array(command[1], b"304", encode_fields(headers), b"")
         body = f"{fields['item']}/{fields['chunk']}\n".encode() * 100
@@ -124,7 +130,7 @@
 
 
 async def serve_change_log(backends: FakeBackends, stream: trio.SocketStream) -> None:
-    """Serves one connection to the change log."""
+    """Serves one connection to the change log, from the sequence number that the router sends first."""
     (event,) = struct.unpack(">Q", await stream.receive_some(8))
     try:
         while True:
@@ -140,13 +146,13 @@
 
 
 async def read_commands(backends: FakeBackends) -> None:
-    """Carries out the lines of standard input until its end."""
+    """Runs the command lines from standard input until its end."""
     while line := await trio.to_thread.run_sync(sys.stdin.readline, abandon_on_cancel=True):
         backends.run_command(line)
 
 
 async def main(path: str) -> None:
-    """Serves until it is stopped."""
+    """Serves all backends of the configuration file until the program is stopped."""
     config = json.loads(Path(path).read_bytes())
     backends = FakeBackends(config)
     async with trio.open_nursery() as nursery:
--- a/examples/send_request.py
+++ b/examples/send_request.py
@@ -12,7 +12,7 @@
 
 
 def main(address: str, class_name: str, object_id: str, part: str = "0") -> int:
-    """Prints the head of the answer and the size of its body; returns 0 if the object was served."""
+    """Prints the headers of the response and the size of its body; returns 0 if the status is 200, else 1."""
     host, _, port = address.rpartition(":")
     client = FastCgiClient(int(port), host)
     response = client.request_object(class_name, object_id.zfill(16), secrets.token_hex(8), part)
