--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures and builders that several test modules share, and the list of known failures."""
+"""Fixtures and builders that several test modules share, and the handling of known failures."""
 
 from __future__ import annotations
 
@@ -26,16 +26,17 @@
 from edge_router.decision.settings import ClassSettings, DeduplicationScope, Idempotency, Settings
 from edge_router.proxy.messages import FinalResponse, IncomingRequest
 
-KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
-MOST_KNOWN_RED = 3
+KNOWN_FAILURES_FILE = Path(__file__).parent.parent / "KNOWN-RED.txt"
+MAX_KNOWN_FAILURES = 3
 
+# Endpoint ids.
 CACHES = (11, 12, 13, 14)
 PARENTS = (21, 22)
 ORIGIN = 31
 
 
 def make_class(**changes: Any) -> ClassSettings:
-    """A request class with default settings, changed by those given."""
+    """Returns a request class with default settings, except for the given changes."""
     base = ClassSettings(
         name="pictures",
         priority_weight=2.0,
@@ -55,7 +56,7 @@
 
 
 def make_settings(*classes: ClassSettings, **changes: Any) -> Settings:
-    """Settings of a fleet of two routers, changed by those given."""
+    """Returns settings of a fleet of two routers, except for the given changes."""
     base = Settings(
         classes=classes or (make_class(),),
         zone=1,
@@ -93,11 +94,11 @@
 
 
 def make_endpoints() -> list[Endpoint]:
-    """Four caches, two parents and an origin, all ready."""
+    """Returns four caches in zone 1, two parents and an origin in zone 0, all ready."""
     ready = EndpointState.READY
-    nodes = [Endpoint(n, 0, 0.0, ready, n % 2, 1, 1.0) for n in CACHES]
-    nodes += [Endpoint(n, 1, 0.0, ready, 0, 0, 1.0) for n in PARENTS]
-    return [*nodes, Endpoint(ORIGIN, 2, 0.0, ready, 0, 0, 1.0)]
+    endpoints = [Endpoint(endpoint_id, 0, 0.0, ready, endpoint_id % 2, 1, 1.0) for endpoint_id in CACHES]
+    endpoints += [Endpoint(endpoint_id, 1, 0.0, ready, 0, 0, 1.0) for endpoint_id in PARENTS]
+    return [*endpoints, Endpoint(ORIGIN, 2, 0.0, ready, 0, 0, 1.0)]
 
 
 def make_incoming_request(respond: Callable[[FinalResponse], None]) -> IncomingRequest:
@@ -119,22 +120,22 @@
 
 
 class PolicyHarness:
-    """One routing policy, its clock and the requests it was given."""
+    """A routing policy with a clock that the test advances; numbers the requests."""
 
-    def __init__(self, settings: Settings | None = None, nodes: list[Endpoint] | None = None) -> None:
+    def __init__(self, settings: Settings | None = None, endpoints: list[Endpoint] | None = None) -> None:
         self.routing_policy = RoutingPolicy(settings or make_settings(), 7)
-        self.now = 100_000.0
+        self.now = 100_000.0  # ms
         self.last_request_id = 0
-        self.endpoints = make_endpoints() if nodes is None else nodes
+        self.endpoints = make_endpoints() if endpoints is None else endpoints
         self.handle(EndpointListUpdate(UpdateKind.CACHED, tuple(self.endpoints)))
 
     def handle(self, event: Event, wait: float = 0.0) -> list[Action]:
-        """Advances the clock by `wait` milliseconds and hands the event to the policy."""
+        """Advances the clock by `wait` milliseconds and passes the event to the policy."""
         self.now += wait
         return self.routing_policy.handle(self.now, event)
 
     def request(self, key: int = 5, wait: float = 1.0, **changes: Any) -> list[Action]:
-        """A new request for an object, after `wait` milliseconds."""
+        """Sends a new request for the object `key` after `wait` milliseconds."""
         self.last_request_id += 1
         request = RequestReceived(self.last_request_id, 0, key, 4000.0, 100.0, 3, 0)
         return self.handle(request._replace(**changes), wait)
@@ -144,11 +145,14 @@
         attempt: StartAttempt,
         outcome: Outcome = Outcome.OK,
         wait: float = 1.0,
-        note: int = 0,
+        fill_result: int = 0,
         attempt_index: int = 0,
         closed: bool | None = None,
     ) -> list[Action]:
-        """Ends an attempt after `wait` milliseconds; `closed` defaults to true for a successful one only."""
+        """Ends an attempt after `wait` milliseconds.
+
+        `closed`: whether this ends the request too; by default if the attempt was successful.
+        """
         is_closed = outcome is Outcome.OK if closed is None else closed
         return self.handle(
             AttemptEnded(
@@ -158,27 +162,29 @@
                 outcome,
                 wait,
                 is_closed,
-                note,
+                fill_result,
                 0.0,
                 (),
             ),
             wait,
         )
 
-    def update_endpoint(self, node: int, kind: UpdateKind = UpdateKind.DELTA, **changes: Any) -> list[Action]:
-        """An endpoint list update with one of the original endpoints, changed as given."""
-        entry = next(n for n in self.endpoints if n.endpoint_id == node)
-        return self.handle(EndpointListUpdate(kind, (entry._replace(**changes),)))
+    def update_endpoint(
+        self, endpoint_id: int, kind: UpdateKind = UpdateKind.DELTA, **changes: Any
+    ) -> list[Action]:
+        """Sends an endpoint list update with one of the original endpoints, except for the given changes."""
+        original = next(endpoint for endpoint in self.endpoints if endpoint.endpoint_id == endpoint_id)
+        return self.handle(EndpointListUpdate(kind, (original._replace(**changes),)))
 
 
 def started_attempts(actions: list[Action]) -> list[StartAttempt]:
-    """The attempts that the actions start."""
-    return [act for act in actions if isinstance(act, StartAttempt)]
+    """Returns the actions that start an attempt."""
+    return [action for action in actions if isinstance(action, StartAttempt)]
 
 
 @pytest.fixture
 def start_router() -> Iterator[Callable[..., RouterHarness]]:
-    """Starts routers that end with the test; none may log a bug, a failed task or a violated rule."""
+    """Starts routers that are closed after the test; none may log an error, failed task or violation."""
     running: list[RouterHarness] = []
 
     def make(**options: Any) -> RouterHarness:
@@ -199,17 +205,17 @@
 
 @pytest.fixture
 def router() -> Iterator[RouterHarness]:
-    """A router with the default settings; it may neither end nor log a bug during the test."""
+    """A router with the default settings; it must neither exit nor log an internal error in the test."""
     running = RouterHarness()
     yield running
-    assert running.process.poll() is None, "the router died"
+    assert running.process.poll() is None, "the router exited during the test"
     assert not running.log_lines("internal-error")
     running.close()
 
 
 @pytest.fixture
 def keyed_router() -> Iterator[RouterHarness]:
-    """A router whose class `confirm` is idempotent with an idempotency key."""
+    """A router whose class `confirm` may be repeated under an idempotency key."""
     changes = {"confirm": {"effect": "token", "group": "all", "window": 5000.0}}
     running = RouterHarness(classes=[{**cls, **changes.get(cls["name"], {})} for cls in SETTINGS["classes"]])
     yield running
@@ -222,22 +228,22 @@
     return PolicyHarness()
 
 
-def known_red() -> Iterator[tuple[str, str]]:
-    """The tests that may fail, each with its cause: lines of `test | cause | issue`.
+def known_failures() -> Iterator[tuple[str, str]]:
+    """Yields each test that is expected to fail, with its cause, from lines of `test | cause | issue`.
 
-    A test named without its parameters stands for all of them, which then all have to fail.
+    A test named without parameters stands for all its parameter sets, all of which then have to fail.
     """
-    if KNOWN_RED.exists():
-        for line in filter(str.strip, KNOWN_RED.read_text().splitlines()):
+    if KNOWN_FAILURES_FILE.exists():
+        for line in filter(str.strip, KNOWN_FAILURES_FILE.read_text().splitlines()):
             test, cause, issue = (part.strip() for part in line.split("|"))
             yield test, f"{cause} (issue {issue})"
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Marks the listed tests as expected failures; a listed test that passes fails the run."""
-    listed = dict(known_red())
-    if len(listed) > MOST_KNOWN_RED:
-        raise pytest.UsageError(f"KNOWN-RED.txt lists more than {MOST_KNOWN_RED} tests")
+    """Marks the listed tests as expected failures; if a listed test passes, the run fails."""
+    listed = dict(known_failures())
+    if len(listed) > MAX_KNOWN_FAILURES:
+        raise pytest.UsageError(f"KNOWN-RED.txt lists more than {MAX_KNOWN_FAILURES} tests")
     for item in items:
         if cause := listed.get(item.nodeid) or listed.get(item.nodeid.partition("[")[0]):
             item.add_marker(pytest.mark.xfail(reason=cause, strict=True))
@@ -245,5 +251,5 @@
 
 def pytest_terminal_summary(terminalreporter: Any) -> None:
     """Prints the expected failures."""
-    for test, cause in known_red():
+    for test, cause in known_failures():
         terminalreporter.write_line(f"known red: {test}: {cause}")
--- a/tests/fake_cache.py
+++ b/tests/fake_cache.py
@@ -1,4 +1,4 @@
-"""A cache played by the test: it receives commands and replies as the test says."""
+"""A fake cache: it passes received commands to the test, which replies to them."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 def resp_array(*items: bytes) -> bytes:
-    """A RESP array of bulk strings."""
+    """Encodes a RESP array of bulk strings."""
     return b"*%d\r\n" % len(items) + b"".join(b"$%d\r\n%b\r\n" % (len(item), item) for item in items)
 
 
 class ReceivedCommand(NamedTuple):
-    """A command that a cache received, with the connection to reply on."""
+    """A command that a cache received, with the connection for the reply."""
 
     cache: FakeCache
     sock: socket.socket
@@ -26,14 +26,14 @@
     body: bytes
 
     def reply(self, status: str = "200", body: bytes = b"", **fields: object) -> None:
-        """Replies with the fields of a valid response, changed by those given."""
+        """Replies with the fields of a valid response, except for those given."""
         table = {"tell": "hit", "ver": "aa11", "born": int(time.time() * 1000), **fields}
         text = ",".join(f"{name}={value}" for name, value in table.items())
         self.sock.sendall(resp_array(self.request_id.encode(), status.encode(), text.encode(), body))
 
 
 class FakeCache:
-    """A cache that puts each received command into the queue of the test."""
+    """A cache that puts each received command into the test's queue."""
 
     def __init__(self, endpoint_id: int, commands: queue.Queue[ReceivedCommand]) -> None:
         self.endpoint_id, self.name = endpoint_id, f"s-{endpoint_id:08x}"
--- a/tests/fake_change_log.py
+++ b/tests/fake_change_log.py
@@ -1,4 +1,4 @@
-"""A change log played by the test."""
+"""A fake change log, whose events the test sends."""
 
 from __future__ import annotations
 
@@ -24,18 +24,18 @@
     weight: int = 9_000_000,
     started_at: int = 0,
 ) -> bytes:
-    """The record of an endpoint on this machine, in cell 0; `started_at` is in Unix milliseconds."""
+    """Encodes the record of an endpoint on this machine, in cell 0; `started_at` is in Unix milliseconds."""
     fields = (endpoint_id, LOCALHOST, port, state, zone, machine_type, 0, weight, started_at)
     return struct.pack(">IIHBBBHIQ", *fields)
 
 
 def encode_group_purge(group: int, purged_at: int) -> bytes:
-    """The payload of a group purge; `purged_at` is in Unix milliseconds."""
+    """Encodes the payload of a group purge; `purged_at` is in Unix milliseconds."""
     return struct.pack(">HQ", group, purged_at)
 
 
 class FakeChangeLog:
-    """Records the sequence number each connection resumes from, and sends the events of the test."""
+    """Records the sequence number that each connection resumes from, and sends events when the test asks."""
 
     def __init__(self) -> None:
         self.resumed_from: queue.Queue[int] = queue.Queue()
@@ -46,12 +46,12 @@
         sock.recv(1)
 
     def send_event(self, number: int, kind: int, payload: bytes = b"") -> None:
-        """Sends one event on the newest connection."""
+        """Sends one event on the newest connection; waits for a connection if there is none."""
         wait_until(lambda: self.listener.accepted, "a connection to the change log")
         sock = self.listener.accepted[-1]
         sock.sendall(struct.pack(">IQB", 9 + len(payload), number, kind) + payload)
 
     def send_partial_frame_byte(self) -> None:
-        """Sends one more byte of a frame that never ends."""
+        """Sends one byte on the newest connection, as part of a frame that is never completed."""
         with contextlib.suppress(OSError):
             self.listener.accepted[-1].send(b"\0")
--- a/tests/fastcgi_client.py
+++ b/tests/fastcgi_client.py
@@ -1,4 +1,4 @@
-"""A FastCGI client played by the test, and its records."""
+"""A FastCGI client for the tests, and the encoding of its records."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 
 def fastcgi_record(kind: int, request_id: int, content: bytes = b"", padding: int = 0) -> bytes:
-    """One FastCGI record of version 1."""
+    """Encodes one FastCGI record of version 1."""
     header = struct.pack(">BBHHBB", 1, kind, request_id, len(content), padding, 0)
     return header + content + bytes(padding)
 
 
 def name_value_pair(name: str, value: str) -> bytes:
-    """A name-value pair of a FastCGI stream; the name is shorter than 128 bytes."""
+    """Encodes a name-value pair of a FastCGI stream; the name must be shorter than 128 bytes."""
     size = struct.pack(">I", len(value) | 1 << 31) if len(value) > 127 else bytes((len(value),))
     return bytes((len(name),)) + size + name.encode() + value.encode()
 
 
 class ClientResponse(NamedTuple):
-    """A complete response; its status is 0 if the request ended without one."""
+    """A complete response; `status` is 0 if the request ended without a status header."""
 
     request_id: int
     status: int
@@ -51,7 +51,7 @@
         padding: int = 0,
         **fields: str | None,
     ) -> bytes:
-        """The records of a request; a parameter that is None is left out."""
+        """Encodes the records of a request; a field that is None is left out."""
         table = {
             "X_TXN": secrets.token_hex(8),
             "X_TTL_MS": "8000",
@@ -79,7 +79,7 @@
         self.sock.sendall(self.encode_request(request_id, **parameters))
 
     def read_record(self) -> tuple[int, int, bytes]:
-        """The type, request id and content of the next record; raises EOFError at the end."""
+        """Returns the type, request id and content of the next record; raises EOFError at the end."""
         head = self._stream.read(8)
         if len(head) < 8:
             raise EOFError
@@ -87,7 +87,7 @@
         return kind, request_id, self._stream.read(length + padding)[:length]
 
     def read_response(self) -> ClientResponse:
-        """The next response that is complete, whatever its request id."""
+        """Reads records until a response is complete, whatever its request id, and returns it."""
         while True:
             kind, request_id, content = self.read_record()
             if kind == STDOUT:
@@ -105,7 +105,7 @@
         return self.read_response()
 
     def is_closed(self) -> bool:
-        """Whether the router has closed the connection."""
+        """Waits for input, and returns whether the router has closed the connection instead."""
         try:
             return self.sock.recv(1) == b""
         except ConnectionResetError:
--- a/tests/router_harness.py
+++ b/tests/router_harness.py
@@ -88,12 +88,12 @@
         self.caches = [FakeCache(0x10 + place, self.commands) for place in range(2)]
         self.change_log = FakeChangeLog()
         self.address = free_address()
-        nodes = [
+        instances = [
             self.instance_config(cache.endpoint_id, cache.listener.port, 1, "box") for cache in self.caches
         ]
-        nodes += [self.instance_config(0x20, 1, 0, "parent"), self.instance_config(0x30, 1, 0, "origin")]
-        first = {"seq": 1, "fleet": {"generation": 1, "reset": True, "instances": nodes}}
-        known = {"seq": 1, "results": [first]}
+        instances += [self.instance_config(0x20, 1, 0, "parent"), self.instance_config(0x30, 1, 0, "origin")]
+        endpoint_list = {"seq": 1, "fleet": {"generation": 1, "reset": True, "instances": instances}}
+        known = {"seq": 1, "results": [endpoint_list]}
         self.config: dict[str, Any] = {
             "name": "n0",
             "listen": ":".join(map(str, self.address)),
@@ -112,7 +112,7 @@
 
     @staticmethod
     def instance_config(endpoint_id: int, port: int, zone: int, kind: str) -> dict[str, Any]:
-        """The entry of an endpoint in the configuration file."""
+        """Returns the entry of an endpoint in the configuration file; `kind` is its machine type."""
         return {
             "instanceId": f"s-{endpoint_id:08x}",
             "hostPort": f"127.0.0.1:{port}",
@@ -124,13 +124,13 @@
             "startedAtMs": 0,
         }
 
-    def endpoint_record(self, cache: FakeCache, state: int, started: int = 0, port: int = 0) -> bytes:
-        """The record of a cache in an event of the change log."""
+    def endpoint_record(self, cache: FakeCache, state: int, started_at: int = 0, port: int = 0) -> bytes:
+        """Returns the record of a cache in a change log event; `port` 0 stands for the cache's port."""
         port = port or cache.listener.port
-        return encode_endpoint(cache.endpoint_id, port, state, zone=1, machine_type=0, started_at=started)
+        return encode_endpoint(cache.endpoint_id, port, state, zone=1, machine_type=0, started_at=started_at)
 
     def start(self) -> subprocess.Popen[bytes]:
-        """Starts the program and waits until it is live or has ended."""
+        """Starts the router process and waits until it answers its liveness check or has exited."""
         self.directory = tempfile.TemporaryDirectory()
         path = Path(self.directory.name, "config.json")
         path.write_text(json.dumps(self.config))
@@ -158,24 +158,24 @@
         self.process.send_signal(signal.SIGHUP)
 
     def is_live(self) -> bool:
-        """Whether the router answers its liveness check."""
+        """Returns whether the router answers its liveness check with 200."""
         try:
             return self.connect().request(path="/status/live").status == 200
         except (OSError, EOFError):
             return False
 
     def connect(self) -> FastCgiClient:
-        """A new client connection."""
+        """Opens a new client connection."""
         return FastCgiClient(self.address)
 
     def next_command(self, command: str = "fetch") -> ReceivedCommand:
-        """The next command of this name that a cache receives; others are dropped."""
+        """Returns the next command of this name that any cache receives; drops other commands before it."""
         while (received := self.commands.get(timeout=TEST_TIMEOUT)).command != command:
             pass
         return received
 
     def log_lines(self, event: str) -> list[str]:
-        """The lines of the router's log for one event."""
+        """Returns the lines of the router's log for one event."""
         text = Path(self.directory.name, "log").read_text()
         return [line for line in text.splitlines() if line.split(" ")[1:2] == [event]]
 
@@ -185,7 +185,7 @@
         wait_until(condition, description)
 
     def close(self) -> None:
-        """Kills the router and closes its peers."""
+        """Kills the router and closes the caches and the change log."""
         if self.process.poll() is None:
             self.process.send_signal(signal.SIGKILL)
             self.process.wait()
--- a/tests/socket_requests.py
+++ b/tests/socket_requests.py
@@ -1,4 +1,4 @@
-"""Requests that several socket tests send, and what they expect of the responses."""
+"""Requests that several socket tests send, and the statuses of the responses that they expect."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 def is_rejection(response: ClientResponse) -> bool:
-    """Whether the response is a rejection that says when to retry."""
+    """Returns whether the response is a rejection that states when to retry."""
     return response.status == REJECTED_STATUS and int(response.headers["X-Throttle-Ms"]) > 0
 
 
 def request_objects(router: RouterHarness, client: FastCgiClient, count: int = 12) -> list[ReceivedCommand]:
-    """Requests this many objects one after the other, each answered by the cache; returns the commands."""
-    found = []
+    """Requests `count` objects one after the other, has the cache answer each, and returns the commands."""
+    fetches = []
     for number in range(count):
         client.send_request(X_ROW=f"{number + 1:016x}")
-        found.append(router.next_command())
-        found[-1].reply()
+        fetches.append(router.next_command())
+        fetches[-1].reply()
         assert client.read_response().status == 200
-    return found
+    return fetches
--- a/tests/tcp_endpoints.py
+++ b/tests/tcp_endpoints.py
@@ -1,4 +1,4 @@
-"""Local TCP addresses for the tests: a listener, an address that does not accept, a free one."""
+"""Local TCP addresses for the tests: a listener, an address that accepts no connection, a free address."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class TcpListener:
-    """Serves each accepted connection in a thread of its own."""
+    """Listens on a free port and serves each accepted connection in a separate thread."""
 
     def __init__(self, serve: Callable[[socket.socket], None]) -> None:
         self._serve = serve
@@ -46,22 +46,23 @@
 
 
 class UnresponsiveAddress:
-    """An address whose accept queue is full: connections stay pending, as to a machine that has vanished."""
+    """An address whose accept queue is full: connections stay pending, as if the machine had vanished."""
 
     def __init__(self) -> None:
         self.sock = socket.socket()
         self.sock.bind(("127.0.0.1", 0))
         self.sock.listen(0)
         self.port: int = self.sock.getsockname()[1]
-        self._fillers = [socket.socket() for _ in range(2)]  # more would compete with the router later
+        # Connections that fill the queue. More would compete with the router's in `accept_connection`.
+        self._fillers = [socket.socket() for _ in range(2)]
         for filler in self._fillers:
             filler.setblocking(False)
             filler.connect_ex(("127.0.0.1", self.port))
 
     def accept_connection(self, timeout: float = TEST_TIMEOUT) -> socket.socket:
-        """Lets connections be established; returns the first that is not a filler.
+        """Accepts connections until one is not a filler, and returns that one.
 
-        A connection that the kernel dropped from the full queue stays away until data is sent on it.
+        A connection that the kernel dropped from the full queue can only be accepted once data is sent on it.
         """
         filler_addresses = [filler.getsockname() for filler in self._fillers]
         self.sock.settimeout(timeout)
@@ -76,10 +77,10 @@
 
 
 def free_address() -> tuple[str, int]:
-    """An address for a program to listen at.
+    """Returns a free (host, port) for a program to listen on.
 
-    The host is a random one of 127.0.0.0/8 because outgoing connections use ports of 127.0.0.1: a port that
-    is free there now may be the local end of a connection a moment later.
+    The host is a random address in 127.0.0.0/8, because outgoing connections use ports of 127.0.0.1: a port
+    that is free there now may become the local end of a connection before the program listens on it.
     """
     host = ".".join(("127", *(str(random.randint(1, 250)) for _ in range(3))))
     with socket.create_server((host, 0)) as free:
--- a/tests/test_policy_load.py
+++ b/tests/test_policy_load.py
@@ -56,7 +56,7 @@
     for _ in range(4):
         attempt = started_attempts(policy.request(key=1))[0]
         assert attempt.endpoint_id == order[0]
-        policy.end_attempt(attempt, wait=500.0, note=FillResult.HIT)
+        policy.end_attempt(attempt, wait=500.0, fill_result=FillResult.HIT)
     assert started_attempts(policy.request(key=1, size_kb=600.0))[0].endpoint_id == order[1]
     assert started_attempts(policy.request(key=1, size_kb=1.0))[0].endpoint_id == order[0]
     assert started_attempts(policy.request(key=1, size_kb=600.0, wait=5000.0))[0].endpoint_id == order[0]
@@ -80,14 +80,14 @@
             number = len(policy.routing_policy.pending[attempt.request_number].attempts) - 1
             more = started_attempts(
                 policy.end_attempt(
-                    attempt, Outcome.OVERLOADED, note=FillResult.ORIGIN_FAILED, attempt_index=number
+                    attempt, Outcome.OVERLOADED, fill_result=FillResult.ORIGIN_FAILED, attempt_index=number
                 )
             )
             attempt = more[0] if more else None
     asked = [started_attempts(policy.request(key=key, size_kb=1.0))[0] for key in range(100, 160)]
     spared = [attempt for attempt in asked if attempt.fill_mode & FillMode.CACHED_ONLY]
     assert len(spared) > 40
-    ended = policy.end_attempt(spared[-1], Outcome.MISS, note=FillResult.SOURCE_MISS)
+    ended = policy.end_attempt(spared[-1], Outcome.MISS, fill_result=FillResult.SOURCE_MISS)
     assert isinstance(ended[-1], Reject)
     assert not started_attempts(ended)
     later = [
@@ -104,7 +104,7 @@
     for key in range(60):
         attempt = started_attempts(policy.request(key=key, size_kb=100.0))[0]
         policy.end_attempt(
-            attempt, wait=1500.0 if attempt.endpoint_id == slow else 100.0, note=FillResult.FILLED
+            attempt, wait=1500.0 if attempt.endpoint_id == slow else 100.0, fill_result=FillResult.FILLED
         )
     assert policy.routing_policy.loads.zone_link.slowdown(policy.now) < 2.0
     assert started_attempts(policy.request(key=1, size_kb=600.0))[0].source_id in PARENTS
@@ -118,7 +118,7 @@
     for policy in (alone, beside):
         for _ in range(2):
             attempt = started_attempts(policy.request(key=1, size_kb=100.0))[0]
-            policy.end_attempt(attempt, wait=215.0, note=FillResult.HIT)
+            policy.end_attempt(attempt, wait=215.0, fill_result=FillResult.HIT)
         kept.append(
             started_attempts(policy.request(key=1, size_kb=1500.0))[0].endpoint_id == attempt.endpoint_id
         )
--- a/tests/test_policy_outliers.py
+++ b/tests/test_policy_outliers.py
@@ -52,7 +52,7 @@
 def test_slow_cache_that_responds_is_not_ejected(policy: PolicyHarness) -> None:
     big = started_attempts(policy.request(size_kb=2000.0))[0]
     small = [started_attempts(policy.request())[0] for _ in range(3)]
-    policy.end_attempt(small[0], wait=1000.0, note=FillResult.FILLED)
+    policy.end_attempt(small[0], wait=1000.0, fill_result=FillResult.FILLED)
     for attempt in (big, *small[1:]):
         assert not started_attempts(policy.handle(TimerFired(attempt.request_number), 10.0))
     assert started_attempts(policy.request(size_kb=1.0))[0].endpoint_id == big.endpoint_id
@@ -70,7 +70,7 @@
             answering.append(attempt)
     for attempt in answering:
         policy.end_attempt(
-            attempt, note=FillResult.FILLED if attempt.source_id != first.source_id else FillResult.HIT
+            attempt, fill_result=FillResult.FILLED if attempt.source_id != first.source_id else FillResult.HIT
         )
     moved = [
         attempt
--- a/tests/test_policy_placement.py
+++ b/tests/test_policy_placement.py
@@ -68,7 +68,7 @@
 
 
 def test_without_parents_fills_come_from_the_origin() -> None:
-    policy = PolicyHarness(nodes=[n for n in make_endpoints() if n.role != 1])
+    policy = PolicyHarness(endpoints=[n for n in make_endpoints() if n.role != 1])
     assert started_attempts(policy.request())[0].source_id == ORIGIN
 
 
@@ -92,7 +92,7 @@
         attempt = started_attempts(policy.request(key=key, segment=part, size_kb=10.0))[0]
         if key == 7:
             used.setdefault(part, set()).add(attempt.endpoint_id)
-        policy.end_attempt(out, note=FillResult.HIT, wait=10.0)
+        policy.end_attempt(out, fill_result=FillResult.HIT, wait=10.0)
         out = attempt
     assert all(len(caches) == 1 for caches in used.values())
 
--- a/tests/test_policy_retries.py
+++ b/tests/test_policy_retries.py
@@ -9,7 +9,7 @@
 
 def test_lost_response_is_requested_again_at_the_same_cache(policy: PolicyHarness) -> None:
     lost, other = started_attempts(policy.request(key=1))[0], started_attempts(policy.request(key=1))[0]
-    policy.end_attempt(other, note=FillResult.HIT, wait=100.0)
+    policy.end_attempt(other, fill_result=FillResult.HIT, wait=100.0)
     again = started_attempts(policy.handle(TimerFired(lost.request_number), 500.0))
     assert [attempt.endpoint_id for attempt in again] == [lost.endpoint_id]
     assert again[0].source_id == lost.endpoint_id
@@ -19,16 +19,18 @@
 def test_overload_suppresses_hedged_requests(policy: PolicyHarness) -> None:
     stuck = started_attempts(policy.request(key=1))[0]
     for _ in range(8):
-        policy.end_attempt(started_attempts(policy.request(key=1))[0], note=FillResult.HIT, wait=300.0)
+        policy.end_attempt(started_attempts(policy.request(key=1))[0], fill_result=FillResult.HIT, wait=300.0)
     assert started_attempts(policy.handle(TimerFired(stuck.request_number))) == []
 
 
 def test_failed_source_is_not_used_again_for_the_request(policy: PolicyHarness) -> None:
     attempt = started_attempts(policy.request())[0]
-    again = started_attempts(policy.end_attempt(attempt, Outcome.ERROR, note=FillResult.SOURCE_FAILED))[0]
+    again = started_attempts(
+        policy.end_attempt(attempt, Outcome.ERROR, fill_result=FillResult.SOURCE_FAILED)
+    )[0]
     assert again.source_id != attempt.source_id
     last = started_attempts(
-        policy.end_attempt(again, Outcome.ERROR, note=FillResult.SOURCE_FAILED, attempt_index=1)
+        policy.end_attempt(again, Outcome.ERROR, fill_result=FillResult.SOURCE_FAILED, attempt_index=1)
     )[0]
     assert last.source_id == ORIGIN
 
--- a/tests/test_policy_robustness.py
+++ b/tests/test_policy_robustness.py
@@ -33,13 +33,13 @@
     assert policy.handle(AttemptEnded(99, 0, 1, Outcome.OK, 1.0, True, 0, 0.0, ())) == []
     attempt = started_attempts(policy.request())[0]
     assert policy.end_attempt(attempt, attempt_index=7) == []
-    assert policy.end_attempt(attempt, note=77) == []
+    assert policy.end_attempt(attempt, fill_result=77) == []
     assert policy.end_attempt(attempt) == []
     assert policy.handle(TimerFired(12345)) == []
 
 
 def test_empty_and_inconsistent_endpoint_lists_are_tolerated() -> None:
-    policy = PolicyHarness(nodes=[])
+    policy = PolicyHarness(endpoints=[])
     assert isinstance(policy.request()[0], Reject)
     entries = make_endpoints()
     strange = [
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -80,7 +80,7 @@
 
 def test_retry_after_is_set_where_it_is_allowed() -> None:
     for allowed, least, most in ((True, 400.0, 900.0), (False, 0.0, 0.0)):
-        policy = PolicyHarness(make_settings(retry_after_allowed=allowed), nodes=[])
+        policy = PolicyHarness(make_settings(retry_after_allowed=allowed), endpoints=[])
         pauses = [act.retry_after for _ in range(20) for act in policy.request() if isinstance(act, Reject)]
         assert len(pauses) == 20
         assert least <= min(pauses)
@@ -258,7 +258,7 @@
     for n in range(300):
         for attempt in started_attempts(policy.request(key=n, wait=1.0, size_kb=500.0)):
             sources.append(attempt.source_id)
-            policy.end_attempt(attempt, note=FillResult.FILLED)
+            policy.end_attempt(attempt, fill_result=FillResult.FILLED)
     capacity = sum(settings.zone_link_bandwidth) / settings.client_bandwidth / len(PARENTS)
     allowed = (
         settings.parent_overload_factor
@@ -324,5 +324,5 @@
 
 
 def test_endpoint_list_of_only_origins_rejects_requests() -> None:
-    policy = PolicyHarness(nodes=make_endpoints()[-1:])
+    policy = PolicyHarness(endpoints=make_endpoints()[-1:])
     assert isinstance(policy.request()[0], Reject)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -32,7 +32,7 @@
         sent += started_attempts(actions)
         assert started_attempts(actions) or isinstance(actions[-1], (Reject, Fail))
         for attempt in started_attempts(actions):
-            policy.end_attempt(attempt, note=FillResult.HIT)
+            policy.end_attempt(attempt, fill_result=FillResult.HIT)
     return sent
 
 
@@ -67,7 +67,7 @@
 
 def test_zone_with_one_cache() -> None:
     sent = request_and_answer_each(
-        PolicyHarness(nodes=[n for n in make_endpoints() if n.endpoint_id not in CACHES[1:]]), 40
+        PolicyHarness(endpoints=[n for n in make_endpoints() if n.endpoint_id not in CACHES[1:]]), 40
     )
     assert {attempt.endpoint_id for attempt in sent} == {CACHES[0]}
 
@@ -98,7 +98,7 @@
     for turn, weight in enumerate((0.0, 1e-9, 4.0, 1e9, -3.0) * 4):
         policy.update_endpoint(CACHES[turn % 4], weight=weight)
         for attempt in started_attempts(policy.request(key=turn)):
-            policy.end_attempt(attempt, note=FillResult.HIT)
+            policy.end_attempt(attempt, fill_result=FillResult.HIT)
 
 
 @pytest.mark.parametrize("load", [(), (0.0,), (math.nan, math.inf, -1.0, 1e30, 7.0)])
--- a/tests/waiting.py
+++ b/tests/waiting.py
@@ -1,4 +1,4 @@
-"""How long the socket tests wait, and the loop that does so."""
+"""Waits until a condition is true; used by the socket tests."""
 
 from __future__ import annotations
 
@@ -13,5 +13,5 @@
     """Polls the condition until it is true; fails the test after `TEST_TIMEOUT`."""
     deadline = time.monotonic() + TEST_TIMEOUT
     while not condition():
-        assert time.monotonic() < deadline, f"never came: {description}"
+        assert time.monotonic() < deadline, f"timed out waiting for: {description}"
         time.sleep(POLL_INTERVAL)
