--- a/tests/test_import_levels.py
+++ b/tests/test_import_levels.py
@@ -1,4 +1,4 @@
-"""Imports: each package uses only its own level and the levels below, and heavy modules stay out."""
+"""Packages import only from their own level and lower levels, and the core does not load heavy libraries."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-# Each package may import from its own level and the levels below.
+# By package; a package may import from its own level and from lower levels.
 LEVELS = {
     "runtime": 0,
     "decision": 1,
@@ -28,7 +28,7 @@
 
 
 def level_of(module: str) -> int:
-    """The level of one of the product's modules."""
+    """Returns the level of a module of `edge_router`."""
     return LEVELS[module.removeprefix("edge_router").removeprefix(".").partition(".")[0]]
 
 
@@ -40,13 +40,15 @@
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.ImportFrom) and node.module and node.module.startswith("edge_router"):
                 for name in node.names:
-                    whole = f"{node.module}.{name.name}"
-                    target = whole if (ROOT / (whole.replace(".", "/") + ".py")).exists() else node.module
+                    full_name = f"{node.module}.{name.name}"
+                    target = (
+                        full_name if (ROOT / (full_name.replace(".", "/") + ".py")).exists() else node.module
+                    )
                     assert level_of(target) <= level_of(module), f"{module} imports {target}"
 
 
 @pytest.mark.parametrize(
-    ("module", "absent"),
+    ("module", "excluded"),
     [
         ("edge_router.proxy.request_router", ("trio",)),
         ("edge_router.transport.upstream_channel", ("trio",)),
@@ -58,6 +60,6 @@
         ),
     ],
 )
-def test_what_a_module_does_not_bring_in(module: str, absent: tuple[str, ...]) -> None:
-    code = f"import sys, {module}; sys.exit(any(name in sys.modules for name in {absent!r}))"
+def test_module_does_not_load_heavy_modules(module: str, excluded: tuple[str, ...]) -> None:
+    code = f"import sys, {module}; sys.exit(any(name in sys.modules for name in {excluded!r}))"
     assert subprocess.run([sys.executable, "-c", code], check=False).returncode == 0
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -1,4 +1,8 @@
-"""Memory is released by reference counting: the garbage collector runs seldom and ignores buffer sizes."""
+"""Memory is released by reference counting alone.
+
+The router's garbage collector runs rarely and takes no account of buffer sizes, so that a reference cycle
+would hold the buffer of a connection for a long time.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +26,7 @@
 
 
 @pytest.fixture(autouse=True)
-def no_collector() -> Iterator[None]:
+def without_garbage_collector() -> Iterator[None]:
     gc.disable()
     yield
     gc.enable()
@@ -32,34 +36,34 @@
     """The client of a request; collects the responses."""
 
     def __init__(self) -> None:
-        self.answers: list[FinalResponse] = []
+        self.responses: list[FinalResponse] = []
 
-    def reply(self, answer: FinalResponse) -> None:
+    def receive(self, response: FinalResponse) -> None:
         """Collects a response."""
-        self.answers.append(answer)
+        self.responses.append(response)
 
 
-class Bench:
-    """A request router with two caches, whose connections are never established."""
+class RequestRouterHarness:
+    """A request router with two caches and an origin, whose connections are never established."""
 
     def __init__(self) -> None:
         clock, budget = Clock(lambda: 1000.0, lambda: 1000.0), MemoryBudget()
         budget.limit = 1e9
         self.channels: list[UpstreamChannel] = []
-        self.route = RequestRouter(
+        self.router = RequestRouter(
             settings_from_json(SETTINGS), 7, clock, Timers(clock, lambda: 0.0), budget, 0.0, self._connect
         )
         self.clock = clock
-        self.route.dispatcher.pool.max_connections = 8
-        kinds = ((0x10, 0, 1), (0x11, 0, 1), (0x30, 2, 0))
-        self.route.on_discovery_event(
+        self.router.dispatcher.pool.max_connections = 8
+        endpoints = ((0x10, 0, 1), (0x11, 0, 1), (0x30, 2, 0))  # id, role and zone
+        self.router.on_discovery_event(
             EndpointsChanged(
                 True,
                 tuple(
                     EndpointAddress(
-                        Endpoint(node, kind, 0.0, EndpointState.READY, 0, zone, 9000.0), "127.0.0.1", 1
+                        Endpoint(endpoint_id, role, 0.0, EndpointState.READY, 0, zone, 9000.0), "127.0.0.1", 1
                     )
-                    for node, kind, zone in kinds
+                    for endpoint_id, role, zone in endpoints
                 ),
             )
         )
@@ -71,37 +75,37 @@
         return self.channels[-1]
 
     def request(self, client: Client) -> None:
-        """Has the router take a request of the client."""
-        request = self.route.on_request(make_incoming_request(client.reply))
+        """Passes a request of the client to the router, and has it decided."""
+        request = self.router.on_request(make_incoming_request(client.receive))
         assert request is not None
-        assert not self.route.run_decisions()
+        assert not self.router.run_decisions()
 
 
 def test_closed_connection_is_freed_with_its_buffer() -> None:
-    bench = Bench()
-    bench.request(Client())
-    assert len(bench.channels) == 1
-    held = weakref.ref(bench.channels[0].buffer)
-    bench.channels.pop(0).on_closed("refused")
-    assert held() is None
+    harness = RequestRouterHarness()
+    harness.request(Client())
+    assert len(harness.channels) == 1
+    buffer = weakref.ref(harness.channels[0].buffer)
+    harness.channels.pop(0).on_closed("refused")
+    assert buffer() is None
 
 
 def test_completed_request_is_freed_with_its_attempts() -> None:
-    bench, client = Bench(), Client()
-    held = weakref.ref(client)
-    bench.request(client)
-    while bench.channels:
-        bench.channels.pop(0).on_closed("refused")
-    assert [answer.status for answer in client.answers] == [ResponseStatus.REJECTED]
+    harness, client = RequestRouterHarness(), Client()
+    client_reference = weakref.ref(client)
+    harness.request(client)
+    while harness.channels:
+        harness.channels.pop(0).on_closed("refused")
+    assert [response.status for response in client.responses] == [ResponseStatus.REJECTED]
     del client
-    assert held() is None
+    assert client_reference() is None
 
 
 def test_hash_rings_of_a_replaced_endpoint_list_are_freed(policy: PolicyHarness) -> None:
     policy.request(key=1)
-    held = [
+    rings = [
         weakref.ref(policy.routing_policy.directory.caches),
         weakref.ref(policy.routing_policy.directory.parents),
     ]
     policy.update_endpoint(CACHES[0], UpdateKind.DELTA, weight=3.0)
-    assert [ring() for ring in held] == [None, None]
+    assert [ring() for ring in rings] == [None, None]
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs and prints what a reader would expect."""
+"""The README's Python example runs and prints the expected decisions."""
 
 import re
 from pathlib import Path
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown after SIGTERM."""
+"""Graceful shutdown after SIGTERM: every accepted request is answered before the platform's SIGKILL."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @pytest.mark.parametrize(("deadline", "within"), [(600.0, 0.8), (9000.0, 3.2)])
 def test_shutdown_answers_requests_before_the_kill_timeout(deadline: float, within: float) -> None:
-    """SIGKILL comes 0.7 s after the longest deadline, of which 3 s count at most."""
+    """SIGKILL follows 0.7 s after the longest deadline, which counts as 3 s if it is longer."""
     classes = [{**entry, "deadline": deadline, "on_time": 500.0} for entry in SETTINGS["classes"]]
     router = RouterHarness(classes=classes)
     client = router.connect()
@@ -45,8 +45,8 @@
 
 
 def test_shutdown_at_the_connection_limit_loses_no_request() -> None:
-    """A connection that waits to be accepted is still served, and the process ends without an error."""
-    router = RouterHarness(sockets=16)  # of which clients get 8
+    """A connection that is still waiting to be accepted is served, and the process exits without an error."""
+    router = RouterHarness(sockets=16)  # 8 of them for clients
     accepted = [router.connect() for _ in range(8)]
     for client in accepted:
         client.send_request()
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -1,4 +1,4 @@
-"""Each decision module is listed in the deploy file and has short lines."""
+"""Every decision module is listed in the deploy file, and has no line longer than 110 characters."""
 
 import tomllib
 from pathlib import Path
--- a/tests/test_statistics.py
+++ b/tests/test_statistics.py
@@ -1,4 +1,4 @@
-"""The statistics line of the log."""
+"""The statistics line of the log counts rejected requests by reason."""
 
 from __future__ import annotations
 
