--- a/examples/fake_backends.py
+++ b/examples/fake_backends.py
@@ -51,17 +51,17 @@
     def __init__(self, config: dict[str, Any]) -> None:
         self.endpoints = config["known"]["results"][0]["fleet"]["instances"]
         self._settings = config["settings"]
-        self._first_event = self.last_event = config["known"]["seq"]
+        self._first_sequence = self.last_sequence = config["known"]["seq"]
         self._frames: list[bytes] = []
         self._copies: dict[tuple[str, str, str], StoredCopy] = {}  # by cache, object and part
 
-    def frames_after(self, event: int) -> list[bytes]:
+    def frames_after(self, sequence: int) -> list[bytes]:
         """Returns the frames of the events that follow the event with this sequence number."""
-        return self._frames[max(0, event - self._first_event) :]
+        return self._frames[max(0, sequence - self._first_sequence) :]
 
     def _publish(self, frame_type: FrameType, payload: bytes) -> None:
-        self.last_event += 1
-        self._frames.append(encode_frame(self.last_event, frame_type, payload))
+        self.last_sequence += 1
+        self._frames.append(encode_frame(self.last_sequence, frame_type, payload))
 
     def run_command(self, line: str) -> None:
         """Runs a command line from standard input."""
@@ -131,15 +131,15 @@
 
 async def serve_change_log(backends: FakeBackends, stream: trio.SocketStream) -> None:
     """Serves one connection to the change log, from the sequence number that the router sends first."""
-    (event,) = struct.unpack(">Q", await stream.receive_some(8))
+    (sequence,) = struct.unpack(">Q", await stream.receive_some(8))
     try:
         while True:
-            for frame in backends.frames_after(event):
+            for frame in backends.frames_after(sequence):
                 await stream.send_all(frame)
-            event = backends.last_event
-            await stream.send_all(encode_frame(event, FrameType.HEARTBEAT))
+            sequence = backends.last_sequence
+            await stream.send_all(encode_frame(sequence, FrameType.HEARTBEAT))
             with trio.move_on_after(HEARTBEAT_INTERVAL):
-                while backends.last_event == event:
+                while backends.last_sequence == sequence:
                     await trio.sleep(0.02)
     except (trio.BrokenResourceError, trio.ClosedResourceError):
         return
