--- a/tests/test_policy_placement.py
+++ b/tests/test_policy_placement.py
@@ -72,7 +72,7 @@
 
 
 def test_without_parents_fills_come_from_the_origin() -> None:
-    policy = PolicyHarness(nodes=[n for n in make_endpoints() if n.role != 1])
+    policy = PolicyHarness(endpoints=[n for n in make_endpoints() if n.role != 1])
     assert started_attempts(policy.request())[0].source_id == ORIGIN
 
 
@@ -96,7 +96,7 @@
         attempt = started_attempts(policy.request(key=key, segment=segment, size_kb=10.0))[0]
         if key == 7:
             used.setdefault(segment, set()).add(attempt.endpoint_id)
-        policy.end_attempt(previous, note=FillResult.HIT, wait=10.0)
+        policy.end_attempt(previous, fill_result=FillResult.HIT, wait=10.0)
         previous = attempt
     assert all(len(caches) == 1 for caches in used.values())
 
