--- a/edge_router/fault_injection/cache_process.py
+++ b/edge_router/fault_injection/cache_process.py
@@ -1,7 +1,7 @@
-"""A simulated cache as a process of its own, with the arguments CACHE_ID PORT SEED.
+"""A simulated cache: `python -m edge_router.fault_injection.cache_process CACHE_ID PORT SEED`.
 
-It fills from any source that a fetch names, stores what it filled, and obeys `limit`, `oldest`, `seen` and
-`abort`. What it observes goes to standard output and orders come in on standard input (`messages`).
+It fills from any source that a fetch names, stores the copy, and obeys `limit`, `oldest`, `seen` and `abort`.
+Commands come in on standard input and reports go to standard output (see `messages`).
 """
 
 from __future__ import annotations
@@ -15,7 +15,12 @@
 
 import trio
 
-from edge_router.fault_injection.messages import DropCopies, ProcessReady, read_orders, send_to_harness
+from edge_router.fault_injection.messages import (
+    DropCopies,
+    ProcessReady,
+    read_harness_commands,
+    send_to_harness,
+)
 from edge_router.fault_injection.network import LOOPBACK, reset_connection
 from edge_router.fault_injection.observations import CacheResponse, FetchReceived
 from edge_router.fault_injection.protocol import (
@@ -33,7 +38,7 @@
 FRESHNESS_LIFETIMES = {"page": 10.0}  # seconds, by class
 WRITE_CLASSES = ("order", "vote")
 ERROR_STATUSES = ("500", "503")
-CORRUPT_STATUS = "corrupt"  # reported for a response that can't be parsed; never on the wire
+CORRUPT_STATUS = "corrupt"  # in the report on a response that can't be parsed; never sent to a router
 
 
 class Corruption(IntEnum):
@@ -47,19 +52,19 @@
 
 @dataclass(slots=True)
 class StoredCopy:
-    """A copy of an object's part."""
+    """A stored copy of one chunk of an object."""
 
-    created_ms: int  # Unix milliseconds at which the origin gave it out
+    created_ms: int  # Unix milliseconds at which the origin sent the copy
 
     @property
     def etag(self) -> str:
-        """Its entity tag."""
+        """Returns the copy's entity tag."""
         return etag_of(self.created_ms)
 
 
 @dataclass(slots=True)
 class FetchResult:
-    """The content of a response to a fetch. `headers` are fields of the protocol."""
+    """The content of a response to a fetch; `headers` are the fields of the protocol's field list."""
 
     status: str
     headers: dict[str, object] = field(default_factory=dict)
@@ -68,18 +73,18 @@
 
 
 def etag_of(created_ms: int) -> str:
-    """The entity tag of a copy of that age."""
+    """Returns the entity tag of a copy that was created at `created_ms`."""
     return f"{created_ms:x}"
 
 
 def content_of(object_id: str, chunk: str, created_ms: int) -> bytes:
-    """The bytes of a copy; the oracle recognizes a copy by them."""
+    """Returns the bytes of a copy; they identify the copy to the oracle."""
     line = f"{object_id}|{chunk}|{created_ms}|".encode()
     return line * (1 + int(object_id[:4], 16) % 200)
 
 
 class CacheConnection:
-    """One connection of a router."""
+    """One connection from a router."""
 
     def __init__(self, stream: trio.SocketStream) -> None:
         self.stream = stream
@@ -98,7 +103,7 @@
 
 
 class SimulatedCache:
-    """The cache of this process: its copies, its connections and its present faults."""
+    """The cache of this process: its copies, its connections and its active faults."""
 
     def __init__(self, cache_id: int, seed: int) -> None:
         self.started_ms = int(time.time() * 1000)
@@ -111,21 +116,21 @@
     def _has_fault(self, kind: FaultKind) -> bool:
         return time.monotonic() < self._fault_until.get(kind, 0.0)
 
-    async def follow_orders(self) -> None:
-        """Carries out the orders of the harness until it ends."""
-        async for order in read_orders():
-            if isinstance(order, DropCopies):
-                self._drop_copies(order)
+    async def execute_harness_commands(self) -> None:
+        """Executes the harness's commands until the harness ends."""
+        async for command in read_harness_commands():
+            if isinstance(command, DropCopies):
+                self._drop_copies(command)
                 continue
-            self._fault_until[order.kind] = order.until
-            if order.kind is FaultKind.RESET_IDLE:
+            self._fault_until[command.kind] = command.until
+            if command.kind is FaultKind.RESET_IDLE:
                 self._reset_idle_connections()
 
-    def _drop_copies(self, order: DropCopies) -> None:
+    def _drop_copies(self, command: DropCopies) -> None:
         self._copies = {
             name: copy
             for name, copy in self._copies.items()
-            if name[0] != order.object_id or copy.created_ms >= order.created_before_ms
+            if name[0] != command.object_id or copy.created_ms >= command.created_before_ms
         }
 
     def _reset_idle_connections(self) -> None:
@@ -250,7 +255,7 @@
 async def _main(cache_id: int, port: int, seed: int) -> None:
     cache = SimulatedCache(cache_id, seed)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(cache.follow_orders)
+        nursery.start_soon(cache.execute_harness_commands)
         await nursery.start(partial(trio.serve_tcp, host=LOOPBACK), cache.serve, port)
         send_to_harness(ProcessReady(cache.started_ms))
 
--- a/edge_router/fault_injection/faults.py
+++ b/edge_router/fault_injection/faults.py
@@ -60,9 +60,11 @@
         router = self._fleet.routers[fault.target % len(self._fleet.routers)]
         until = time.monotonic() + fault.duration
         if fault.kind in CACHE_FAULTS:
-            await self._fleet.send_order(cache.process, InjectFault(fault.kind, until))
+            await self._fleet.send_command(cache.process, InjectFault(fault.kind, until))
         elif fault.kind in PROXY_FAULTS:
-            await self._fleet.send_order(self._fleet.proxy, InjectFault(fault.kind, until, cache.proxy_port))
+            await self._fleet.send_command(
+                self._fleet.proxy, InjectFault(fault.kind, until, cache.proxy_port)
+            )
         elif fault.kind is FaultKind.PURGE:
             await self._purge(fault)
         elif fault.kind in self._cache_faults:
@@ -124,7 +126,7 @@
             return
         await trio.sleep(min(4.0, fault.duration))
         for cache in self._fleet.caches:
-            await self._fleet.send_order(cache.process, DropCopies(object_id, purged_at_ms))
+            await self._fleet.send_command(cache.process, DropCopies(object_id, purged_at_ms))
 
     # Change logs.
 
--- a/edge_router/fault_injection/fleet.py
+++ b/edge_router/fault_injection/fleet.py
@@ -18,7 +18,7 @@
 from edge_router.fault_injection.bad_clients import BadClients
 from edge_router.fault_injection.change_log import ChangeLog
 from edge_router.fault_injection.clients import Clients
-from edge_router.fault_injection.messages import Order, ProcessReady, message_from_json
+from edge_router.fault_injection.messages import HarnessCommand, ProcessReady, message_from_json
 from edge_router.fault_injection.network import LOOPBACK, free_port
 from edge_router.fault_injection.observations import (
     AttemptStarted,
@@ -102,7 +102,7 @@
         self.routers: list[RouterSlot] = []
         self.proxy: trio.Process | None = None
         self._proxy_ready = trio.Event()
-        self._order_locks: dict[int, trio.Lock] = {}  # by process id; lines must not interleave
+        self._command_locks: dict[int, trio.Lock] = {}  # by process id; lines must not interleave
         self._processes: list[trio.Process] = []
 
     async def start(self) -> None:
@@ -201,13 +201,13 @@
             cache.started_ms = report.started_ms
             cache.ready.set()
 
-    async def send_order(self, process: trio.Process | None, order: Order) -> None:
-        """Sends an order to a cache's or the proxy's process, if it runs."""
+    async def send_command(self, process: trio.Process | None, command: HarnessCommand) -> None:
+        """Sends a command to a cache's or the proxy's process, if it runs."""
         if process is None or process.stdin is None or process.poll() is not None:
             return
         try:
-            async with self._order_locks.setdefault(process.pid, trio.Lock()):
-                await process.stdin.send_all(order.to_json().encode() + b"\n")
+            async with self._command_locks.setdefault(process.pid, trio.Lock()):
+                await process.stdin.send_all(command.to_json().encode() + b"\n")
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             return
 
--- a/edge_router/fault_injection/messages.py
+++ b/edge_router/fault_injection/messages.py
@@ -1,7 +1,7 @@
-"""Typed messages between the harness and its processes, one JSON object a line.
+"""Messages between the harness and its processes, as one JSON object per line.
 
-The class name is sent as `type`. Orders go to a process on its standard input; reports of what it observed
-(`observations`) come back on its standard output.
+The object's `type` is the name of the message's class. Commands go to a process on its standard input.
+Reports of what it observed (defined in `observations`) come back on its standard output.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 
 @dataclass(slots=True)
 class Message:
-    """Base class of all messages; subclasses are dataclasses with JSON values as fields."""
+    """Base class of all messages; subclasses are dataclasses whose fields are JSON values."""
 
     def to_json(self) -> str:
-        """The message as one line of JSON, without the line end."""
+        """Returns the message as one line of JSON, without the line end."""
         return json.dumps({"type": type(self).__name__, **asdict(self)})
 
 
 def message_from_json(line: str, *types: type[Message]) -> Message:
-    """The message that a line holds; raises KeyError if its type is none of `types`."""
+    """Parses one line; raises KeyError if the message's type is none of `types`."""
     table: dict[str, Any] = json.loads(line)
     by_name = {message_type.__name__: message_type for message_type in types}
     return by_name[table.pop("type")](**table)
@@ -41,16 +41,16 @@
 
 @dataclass(slots=True)
 class ProcessReady(Message):
-    """The process accepts connections. `started_ms` is its own start in Unix milliseconds."""
+    """Report: the process, started at `started_ms` (Unix milliseconds), accepts connections."""
 
     started_ms: int
 
 
 @dataclass(slots=True)
 class InjectFault(Message):
-    """Order: have a fault until a moment of the machine's monotonic clock.
+    """Command: keep a fault active until a time of the machine's monotonic clock, in seconds.
 
-    `port` is the listening port that the fault applies to, for the proxy; caches have just one.
+    For the proxy, `port` is the listening port that the fault applies to; a cache has only one port.
     """
 
     kind: FaultKind
@@ -58,25 +58,28 @@
     port: int | None = None
 
     def __post_init__(self) -> None:
-        """Restores the kind, of which JSON holds only the value."""
+        """Converts the kind to its enum, since JSON holds only the value."""
         self.kind = FaultKind(self.kind)
 
 
 @dataclass(slots=True)
 class DropCopies(Message):
-    """Order: drop the stored copies of an object that were created before that Unix millisecond."""
+    """Command: drop an object's stored copies that were created before a time in Unix milliseconds."""
 
     object_id: str
     created_before_ms: int
 
 
-Order = InjectFault | DropCopies
+HarnessCommand = InjectFault | DropCopies
 
 
-async def read_orders() -> AsyncIterator[Order]:
-    """The orders of the harness; ends the process when the harness is gone, so that none is left behind."""
+async def read_harness_commands() -> AsyncIterator[HarnessCommand]:
+    """Yields the harness's commands.
+
+    At the end of input, when the harness has ended, it exits the process so that none is left running.
+    """
     async for line in trio.wrap_file(sys.stdin):
-        order = message_from_json(line, InjectFault, DropCopies)
-        assert isinstance(order, InjectFault | DropCopies)
-        yield order
+        command = message_from_json(line, InjectFault, DropCopies)
+        assert isinstance(command, InjectFault | DropCopies)
+        yield command
     os._exit(0)
--- a/edge_router/fault_injection/observations.py
+++ b/edge_router/fault_injection/observations.py
@@ -1,7 +1,7 @@
-"""What clients, caches, the proxy and the change log saw of the routers.
+"""What clients, caches, the proxy and the change log observed of the routers in one run.
 
-Moments are seconds of the machine's monotonic clock, which all processes share; a moment is None where
-something never happened.
+Times (`at` and fields that end in `_at`) are seconds of the machine's monotonic clock, which all processes
+share. A time is None if the event has not happened.
 """
 
 from __future__ import annotations
@@ -14,20 +14,20 @@
 
 @dataclass(slots=True)
 class AttemptStarted(Message):
-    """The proxy saw the first byte of a fetch leave a router, whatever became of it."""
+    """The proxy has received the first byte of a fetch from a router, whether or not it forwards it."""
 
     at: float
     cache_id: int
     request_id: str
     class_name: str
-    limit_ms: float  # time limit that the router passed on
-    source_id: int  # endpoint named as the source of the fill; 0 for none
-    proxy_delay: float  # seconds by which the proxy itself may have seen it late
+    limit_ms: float  # time limit that the router gave the cache
+    source_id: int  # id of the endpoint that the router named as the source of the fill; 0 for none
+    proxy_delay: float  # seconds by which `at` may be late because the proxy itself was delayed
 
 
 @dataclass(slots=True)
 class FetchReceived(Message):
-    """A complete fetch command has reached a cache."""
+    """A cache has received a complete fetch command."""
 
     at: float
     cache_id: int
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class CacheResponse(Message):
-    """A cache has written its response to a fetch."""
+    """A cache has responded to a fetch."""
 
     at: float
     cache_id: int
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """One request of a client and what became of it."""
+    """One request of a client, with its cancellation, its answer or the loss of its connection."""
 
     request_id: str
     router: str
@@ -60,22 +60,22 @@
     chunk: int
     group: int
     timeout: float  # seconds
-    client_etag: str = ""  # of the copy that the client has stored
-    sent_at: float | None = None  # last byte written
-    cancelled_at: float | None = None  # aborted, or connection closed, by the client
+    client_etag: str = ""  # entity tag of the copy that the client has stored
+    sent_at: float | None = None  # when its last byte was written
+    cancelled_at: float | None = None  # when the client sent an abort or closed the connection
     answered_at: float | None = None
-    connection_lost_at: float | None = None  # the router closed the connection without an answer
+    connection_lost_at: float | None = None  # when the connection ended without an answer
     answer_count: int = 0
     parse_error: str | None = None  # why the answer could not be parsed
     status: int | None = None
-    not_modified: bool = False  # the answer says that the client's copy is current
+    not_modified: bool = False  # whether the answer says that the client's copy is current
     response_etag: str = ""
     body: bytes = b""
 
 
 @dataclass(slots=True)
 class EndpointChangeSent:
-    """The change log has sent a router the new state of an endpoint."""
+    """The new state of an endpoint in a router's change log; `at` is when it was first sent to the router."""
 
     at: float | None
     router: str
@@ -86,7 +86,10 @@
 
 @dataclass(slots=True)
 class PurgeSent:
-    """The change log has sent a router a purge: of one object, or else of all objects of a group."""
+    """A purge in a router's change log: of one object, or else of all objects of a purge group.
+
+    `at` is when it was first sent to the router.
+    """
 
     at: float | None
     router: str
@@ -95,7 +98,7 @@
     group: int | None = None
 
     def covers(self, request: ClientRequest) -> bool:
-        """Whether the requested object is purged."""
+        """Whether the purge applies to the requested object."""
         if self.object_id is not None:
             return self.object_id == request.object_id
         return self.group == request.group
@@ -117,7 +120,7 @@
 
 @dataclass(slots=True)
 class Observations:
-    """Everything seen in one run."""
+    """All observations of one run."""
 
     requests: list[ClientRequest] = field(default_factory=list)
     attempts: list[AttemptStarted] = field(default_factory=list)
@@ -126,11 +129,12 @@
     endpoint_changes: list[EndpointChangeSent] = field(default_factory=list)
     purges: list[PurgeSent] = field(default_factory=list)
     router_runs: list[RouterRun] = field(default_factory=list)
-    routers_behind_change_log: list[str] = field(default_factory=list)  # at the end of the run
-    max_harness_delay: float = 0.0  # seconds by which the clients sent a request late, at the most
+    # Names of the routers that had not received their whole change log at the end of the run.
+    routers_behind_change_log: list[str] = field(default_factory=list)
+    max_harness_delay: float = 0.0  # seconds; largest delay with which the clients sent a request
 
     def add_report(self, report: Report) -> None:
-        """Records what a process has reported."""
+        """Records a report of a process."""
         if isinstance(report, AttemptStarted):
             self.attempts.append(report)
         elif isinstance(report, FetchReceived):
@@ -139,7 +143,7 @@
             self.cache_responses.append(report)
 
     def add_change(self, change: EndpointChangeSent | PurgeSent) -> None:
-        """Records what the change log has sent to a router."""
+        """Records an event that the change log has sent to a router."""
         if isinstance(change, EndpointChangeSent):
             self.endpoint_changes.append(change)
         else:
--- a/edge_router/fault_injection/proxy.py
+++ b/edge_router/fault_injection/proxy.py
@@ -1,8 +1,8 @@
 """A fault proxy between routers and caches: `python -m edge_router.fault_injection.proxy SEED ROUTES`.
 
-`ROUTES` is a JSON list of [port to listen on, port of the cache, id of the cache]. Orders come in on standard
-input (`messages`). Every fetch that starts to arrive is reported on standard output with its time, whatever
-becomes of it behind the proxy.
+`ROUTES` is a JSON list of [port to listen on, port of the cache, id of the cache]. Commands come in on
+standard input (see `messages`). Every fetch is reported on standard output with the time at which it started
+to arrive, whether or not the proxy forwards it.
 """
 
 from __future__ import annotations
@@ -18,7 +18,12 @@
 
 import trio
 
-from edge_router.fault_injection.messages import InjectFault, ProcessReady, read_orders, send_to_harness
+from edge_router.fault_injection.messages import (
+    InjectFault,
+    ProcessReady,
+    read_harness_commands,
+    send_to_harness,
+)
 from edge_router.fault_injection.network import LOOPBACK, reset_connection
 from edge_router.fault_injection.observations import AttemptStarted
 from edge_router.fault_injection.protocol import ArrayDecoder, decode_fields
@@ -26,10 +31,10 @@
 
 RECEIVE_SIZE = 65_536
 SLOW_PIECE_SIZE = 7  # bytes sent at once on a slow link
-SLOW_PIECES = 40  # pieces of one chunk that are sent slowly, the rest at once
+SLOW_PIECES = 40  # pieces of each received chunk that are sent slowly; the rest is sent at once
 SLOW_PIECE_INTERVAL = 0.001  # seconds
-RESET_SHARE = 0.7  # of the open connections, those that FaultKind.RESET ends
-DELAY_SAMPLE_INTERVAL, DELAY_SAMPLES = 0.01, 100  # seconds between two samples, and how many are kept
+RESET_SHARE = 0.7  # fraction of the open connections that FaultKind.RESET ends
+DELAY_SAMPLE_INTERVAL, DELAY_SAMPLES = 0.01, 100  # seconds between two samples, number of samples kept
 
 
 class Route(NamedTuple):
@@ -42,14 +47,14 @@
 
 @dataclass(slots=True)
 class ForwardBuffer:
-    """Bytes of one direction that were received and not sent on yet."""
+    """Received bytes of one direction that are not forwarded yet."""
 
     chunks: deque[bytes] = field(default_factory=deque)
     changed: trio.Event = field(default_factory=trio.Event)
     ended: bool = False
 
     def put(self, data: bytes) -> None:
-        """Appends received bytes; empty at the end of the stream."""
+        """Appends received bytes; empty `data` marks the end of the stream."""
         if data:
             self.chunks.append(data)
         else:
@@ -63,7 +68,7 @@
 
 
 class FaultProxy:
-    """All routes, their present faults and their open connections."""
+    """Forwards all routes; keeps their active faults and open connections."""
 
     def __init__(self, seed: int, routes: list[Route]) -> None:
         self._random = random.Random(seed)
@@ -72,7 +77,7 @@
         self._connections: dict[int, set[trio.CancelScope]] = {route.port: set() for route in routes}
 
     async def sample_own_delay(self) -> None:
-        """Measures by how much this process itself runs late, so that the oracle can allow for it."""
+        """Measures the scheduling delay of this process, which the oracle adds to its time limits."""
         while True:
             due = trio.current_time() + DELAY_SAMPLE_INTERVAL
             await trio.sleep_until(due)
@@ -85,14 +90,14 @@
         while self._has_fault(port, kind):
             await trio.sleep(0.02)
 
-    async def follow_orders(self) -> None:
-        """Carries out the orders of the harness until it ends."""
-        async for order in read_orders():
-            if not isinstance(order, InjectFault) or order.port is None:
+    async def execute_harness_commands(self) -> None:
+        """Executes the harness's commands until the harness ends."""
+        async for command in read_harness_commands():
+            if not isinstance(command, InjectFault) or command.port is None:
                 continue
-            self._fault_until[order.port, order.kind] = order.until
-            if order.kind is FaultKind.RESET:
-                self._reset_connections(order.port)
+            self._fault_until[command.port, command.kind] = command.until
+            if command.kind is FaultKind.RESET:
+                self._reset_connections(command.port)
 
     def _reset_connections(self, port: int) -> None:
         for scope in list(self._connections[port]):
@@ -100,7 +105,7 @@
                 scope.cancel()
 
     async def serve(self, route: Route, router: trio.SocketStream) -> None:
-        """Forwards one connection in both directions until one of them ends, then resets both sides."""
+        """Forwards a router's connection in both directions until one ends, then resets both connections."""
         cache: trio.SocketStream | None = None
         with trio.CancelScope() as scope:
             self._connections[route.port].add(scope)
@@ -129,7 +134,7 @@
             return None
 
     async def _receive(self, source: trio.SocketStream, buffer: ForwardBuffer, cache_id: int | None) -> None:
-        """Receives at once, whatever happens behind: an attempt has started once a router has written it.
+        """Receives without waiting for the forwarding: an attempt has started once a router has written it.
 
         With a cache id, the bytes are commands to that cache, and the fetches among them are reported.
         """
@@ -162,7 +167,7 @@
     async def _forward(
         self, port: int, buffer: ForwardBuffer, sink: trio.SocketStream, scope: trio.CancelScope
     ) -> None:
-        """Sends one direction on. After a partition it resets, so that nothing held back arrives later."""
+        """Forwards one direction. After a partition it resets, so that the held bytes never arrive."""
         try:
             while buffer.chunks or not buffer.ended:
                 if not buffer.chunks:
@@ -190,7 +195,7 @@
 async def _main(seed: int, routes: list[Route]) -> None:
     proxy = FaultProxy(seed, routes)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(proxy.follow_orders)
+        nursery.start_soon(proxy.execute_harness_commands)
         nursery.start_soon(proxy.sample_own_delay)
         for route in routes:
             serve = partial(proxy.serve, route)
