--- a/edge_router/fault_injection/__init__.py
+++ b/edge_router/fault_injection/__init__.py
@@ -1,1 +1,1 @@
-"""Routers, caches and clients as real processes under injected faults, judged by an oracle."""
+"""Runs real router and cache processes under injected faults; an oracle checks what was observed of them."""
--- a/edge_router/fault_injection/bad_clients.py
+++ b/edge_router/fault_injection/bad_clients.py
@@ -1,4 +1,4 @@
-"""Clients that break the protocol: noise, incomplete requests, bodies without end, silence."""
+"""Clients that break the protocol: random bytes, incomplete requests, overlong bodies, silent connections."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from edge_router.fault_injection.protocol import RecordType, encode_begin, encode_record
 from edge_router.fault_injection.traffic import RequestGenerator, encode_client_request
 
-CONNECT_INTERVAL = 0.05  # seconds between two bad clients
-MIN_LIFETIME = 0.1  # seconds
-NOISE_SIZE = 300
-BODY_RECORDS, BODY_RECORD_SIZE = 200, 60_000
+CONNECT_INTERVAL = 0.05  # seconds between two connections
+MIN_LIFETIME = 0.1  # seconds that each connection may last, also at the end of the fault
+NOISE_SIZE = 300  # bytes
+BODY_RECORDS, BODY_RECORD_SIZE = 200, 60_000  # 12 MB in total
 
 _Behaviour = Callable[[trio.SocketStream], Awaitable[None]]
 
 
 class BadClients:
-    """All badly behaving clients of one router."""
+    """All clients of one router that break the protocol."""
 
     def __init__(
         self, router: str, address: tuple[str, int], generator: random.Random, nursery: trio.Nursery
@@ -29,7 +29,7 @@
         self._requests = RequestGenerator(router, generator)
 
     async def run(self, duration: float) -> None:
-        """Opens connections that misbehave, for so many seconds."""
+        """Opens connections for `duration` seconds; each breaks the protocol in a randomly chosen way."""
         end = time.monotonic() + duration
         behaviours: list[_Behaviour] = [
             self._send_noise,
--- a/edge_router/fault_injection/change_log.py
+++ b/edge_router/fault_injection/change_log.py
@@ -1,4 +1,4 @@
-"""The change log of one router: numbered events over TCP, with faults. Each router has one of its own."""
+"""The change log of one router: numbered events over TCP, with faults."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
     encode_object_purge,
 )
 
-SLOW_PIECE_SIZE = 32  # bytes sent at once while the log is slow
+SLOW_PIECE_SIZE = 32  # bytes sent at once while the change log is slow
 SLOW_PIECE_INTERVAL = 0.3  # seconds
-PURGE_RETENTION = 6.0  # seconds for which a router that starts is still given a purge
-MOVED_CLOSES_AFTER = 1.5  # seconds for which the old address keeps its connections open
+PURGE_RETENTION = 6.0  # seconds; routers that restart get the purges of this time in their configuration
+MOVED_CONNECTION_TIME = 1.5  # seconds for which connections to the previous address stay open after a move
 HEARTBEAT_INTERVAL = 1.0  # seconds
 _SEQUENCE_NUMBER = struct.Struct(">Q")
 
 
 @dataclass(slots=True)
 class LogEvent:
-    """One numbered event. `change` is what the router learns by it; None for the list at the start."""
+    """One numbered event. `change` is the change that it tells the router, or None for the initial list."""
 
     frame: bytes
     change: EndpointChangeSent | PurgeSent | None = None
 
 
 class ChangeLog:
-    """All events of one router process, and the connections that follow them."""
+    """All events for one router process, and the connections on which they are sent."""
 
     def __init__(self, router: str, observations: Observations, endpoints: list[EndpointRecord]) -> None:
         self.router = router
@@ -43,8 +43,8 @@
         self.slow_until = 0.0  # monotonic seconds
         self.recent_purges: list[PurgeSent] = []  # for the configuration of a router that restarts
         self._endpoints = {endpoint.endpoint_id: endpoint for endpoint in endpoints}
-        self._address_generation = 0  # counts the moves to another address
-        self._sent_to: dict[trio.SocketStream, int] = {}  # number of the last event sent there
+        self._address_generation = 0  # number of moves to another address
+        self._last_sent: dict[trio.SocketStream, int] = {}  # sequence numbers by connection
         self._observations = observations
         self._events = [self._list_event()]
         self._changed = trio.Event()
@@ -55,11 +55,11 @@
         return LogEvent(encode_frame(1, FrameType.ENDPOINT_LIST, payload))
 
     def endpoints(self) -> list[EndpointRecord]:
-        """The present endpoint list."""
+        """Returns the current endpoint list."""
         return list(self._endpoints.values())
 
     def update_endpoint(self, endpoint: EndpointRecord) -> None:
-        """Adds an event: an endpoint's entry has changed."""
+        """Adds the event that an endpoint's entry has changed."""
         self._endpoints[endpoint.endpoint_id] = endpoint
         if endpoint.state is EndpointState.REMOVED:
             del self._endpoints[endpoint.endpoint_id]
@@ -69,12 +69,12 @@
         self._add(FrameType.ENDPOINT_CHANGES, endpoint.encode(), change)
 
     def purge_object(self, object_id: str, purged_at_ms: int) -> None:
-        """Adds an event: an object was purged."""
+        """Adds the event that an object was purged."""
         change = PurgeSent(None, self.router, purged_at_ms, object_id=object_id)
         self._add(FrameType.OBJECT_PURGED, encode_object_purge(object_id, purged_at_ms), change)
 
     def purge_group(self, group: int, purged_at_ms: int) -> None:
-        """Adds an event: all objects of a group were purged."""
+        """Adds the event that all objects of a purge group were purged."""
         change = PurgeSent(None, self.router, purged_at_ms, group=group)
         self._add(FrameType.GROUP_PURGED, encode_group_purge(group, purged_at_ms), change)
 
@@ -87,14 +87,14 @@
         self._changed.set()
         self._changed = trio.Event()
 
-    def is_followed_to_its_end(self) -> bool:
-        """Whether somebody is connected to the present address and was sent all events."""
-        return len(self._events) in self._sent_to.values()
+    def has_sent_all_events(self) -> bool:
+        """Whether all events were sent on a connection to the current address that is still open."""
+        return len(self._events) in self._last_sent.values()
 
     def restart(self) -> None:
-        """Starts anew for a new router process: numbers begin again, with the list as it is now.
+        """Resets the log for a new router process: event 1 is the current endpoint list.
 
-        The router gets that list with its configuration, so the changes count as sent now.
+        The router gets that list in its configuration, so the states in it count as sent now.
         """
         now = time.monotonic()
         oldest_ms = (time.time() - PURGE_RETENTION) * 1000.0
@@ -108,18 +108,18 @@
         self.reset_connections()
 
     def move(self) -> None:
-        """The log is at another address from now on; connections to the old one are sent nothing more."""
+        """Moves the log to another address: nothing more is sent on connections to the previous one."""
         self._address_generation += 1
         self._notify_connections()
 
     def reset_connections(self) -> None:
-        """Closes all connections abruptly."""
+        """Closes all connections without a shutdown."""
         for stream in list(self._streams):
             stream.socket.close()
         self._streams.clear()
 
     async def serve(self, stream: trio.SocketStream) -> None:
-        """Serves one connection: reads the number of the last known event, then sends all later ones."""
+        """Serves one connection: reads the router's last sequence number, then sends all later events."""
         self._streams.add(stream)
         try:
             request = b""
@@ -128,13 +128,13 @@
                     return
                 request += data
             await self._send_events(stream, _SEQUENCE_NUMBER.unpack(request)[0])
-            self._sent_to.pop(stream, None)
-            await trio.sleep(MOVED_CLOSES_AFTER)
+            self._last_sent.pop(stream, None)
+            await trio.sleep(MOVED_CONNECTION_TIME)
         except (trio.BrokenResourceError, trio.ClosedResourceError, OSError):
             pass
         finally:
             self._streams.discard(stream)
-            self._sent_to.pop(stream, None)
+            self._last_sent.pop(stream, None)
             await trio.aclose_forcefully(stream)
 
     async def _send_events(self, stream: trio.SocketStream, last: int) -> None:
@@ -149,7 +149,7 @@
                 await self._send(stream, event.frame)
                 self._record_sent(event)
                 last += 1
-            self._sent_to[stream] = last
+            self._last_sent[stream] = last
             with trio.move_on_after(HEARTBEAT_INTERVAL) as waiting:
                 await changed.wait()
             moved = generation != self._address_generation
--- a/edge_router/fault_injection/clients.py
+++ b/edge_router/fault_injection/clients.py
@@ -1,4 +1,4 @@
-"""The web servers: FastCGI clients that send requests in an open loop and cancel some of them."""
+"""FastCGI clients, as web servers are: they send requests in an open loop and cancel some of them."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
 )
 from edge_router.fault_injection.traffic import RequestGenerator, encode_client_request
 
-IDLE_TIMEOUT = 3.0  # seconds; routers close idle connections after 4 s, some sooner
+IDLE_TIMEOUT = 3.0  # seconds; below the 4 s after which routers close idle connections (some do so sooner)
 CONNECT_TIMEOUT = 2.0  # seconds
-MAX_REQUESTS_PER_CONNECTION = 8  # at once
-NEW_CONNECTION_SHARE = 0.1  # of the requests that could use an open connection
-SPLIT_SHARE = 0.1  # of the requests, those that are written in two parts
+MAX_REQUESTS_PER_CONNECTION = 8  # concurrent requests
+NEW_CONNECTION_SHARE = 0.1  # fraction of requests that open a connection although one could be reused
+SPLIT_SHARE = 0.1  # fraction of requests that are written in two parts
 SPLIT_SIZE, SPLIT_PAUSE = 20, 0.02  # bytes of the first part, seconds before the second
-CANCEL_SHARE = 0.04  # of the requests, those that are cancelled
+CANCEL_SHARE = 0.04  # fraction of requests that are cancelled
 MAX_CANCEL_DELAY = 0.2  # seconds
-ABORT_SHARE = 0.7  # of the cancellations, those by an abort record; the others close the connection
+ABORT_SHARE = 0.7  # fraction of cancellations by an abort record; the others close the connection
 
 _CONNECTION_ERRORS = (trio.BrokenResourceError, trio.ClosedResourceError, trio.BusyResourceError)
 
 
 @dataclass(slots=True, eq=False)
 class ClientConnection:
-    """One connection to a router and the requests open on it, by FastCGI request id."""
+    """One connection to a router, with its open requests and their output by FastCGI request id."""
 
     stream: trio.SocketStream
     open_requests: dict[int, ClientRequest] = field(default_factory=dict)
@@ -46,20 +46,20 @@
     send_lock: trio.Lock = field(default_factory=trio.Lock)  # records of two requests must not interleave
 
     def is_usable(self) -> bool:
-        """Whether another request may be sent on it."""
+        """Whether another request may be sent on the connection."""
         idle_time = time.monotonic() - self.last_used_at
         room = len(self.open_requests) < MAX_REQUESTS_PER_CONNECTION
         return not self.closed and room and idle_time < IDLE_TIMEOUT
 
     def new_fastcgi_id(self) -> int:
-        """An id that no open request has."""
+        """Returns the next FastCGI request id, which no open request has."""
         fastcgi_id = self.next_fastcgi_id
         self.next_fastcgi_id = fastcgi_id % 60_000 + 1
         return fastcgi_id
 
 
 class Clients:
-    """All well-behaved clients of one router."""
+    """All clients of one router that keep to the protocol."""
 
     def __init__(
         self,
@@ -74,17 +74,20 @@
         self._requests = RequestGenerator(router, self._random)
         self._connections: list[ClientConnection] = []
         self.rate_factor = 1.0
-        self.accepting = True  # whether requests are still sent to this router
+        self.sending = True  # whether new requests are sent to the router
 
     async def run(self, rate: float, until: float) -> None:
-        """Sends requests at that mean rate until that moment, without waiting for answers."""
+        """Sends requests without waiting for answers.
+
+        `rate` is the mean number of requests per second, `until` a time of the machine's monotonic clock.
+        """
         next_at = time.monotonic()
         while next_at < until:
             next_at += self._random.expovariate(rate * self.rate_factor)
             await trio.sleep(max(0.0, next_at - time.monotonic()))
             delay = time.monotonic() - next_at
             self._observations.max_harness_delay = max(self._observations.max_harness_delay, delay)
-            if self.accepting:
+            if self.sending:
                 self._nursery.start_soon(self._send_one)
 
     async def _send_one(self) -> None:
@@ -92,7 +95,7 @@
         try:
             connection = await self._acquire_connection()
         except OSError:
-            return  # never sent, so no answer is due
+            return  # the request was never sent, so it needs no answer
         fastcgi_id = connection.new_fastcgi_id()
         if not await self._send(connection, fastcgi_id, request):
             return
@@ -102,7 +105,7 @@
             await self._cancel(connection, fastcgi_id, request)
 
     async def _acquire_connection(self) -> ClientConnection:
-        """An open connection, or a new one; raises OSError if there is no way to connect in time."""
+        """Returns an open connection or a new one; raises OSError if it can't connect in time."""
         usable = [connection for connection in self._connections if connection.is_usable()]
         if usable and self._random.random() >= NEW_CONNECTION_SHARE:
             return self._random.choice(usable)
@@ -110,14 +113,14 @@
             with trio.fail_after(CONNECT_TIMEOUT):
                 stream = await trio.open_tcp_stream(*self._address)
         except trio.TooSlowError as error:
-            raise OSError("no connection in time") from error
+            raise OSError("no connection within the timeout") from error
         connection = ClientConnection(stream)
         self._connections.append(connection)
         self._nursery.start_soon(self._read, connection)
         return connection
 
     async def _send(self, connection: ClientConnection, fastcgi_id: int, request: ClientRequest) -> bool:
-        """Writes a request; False if the connection failed before it was complete."""
+        """Writes a request; returns False if the connection failed before the request was complete."""
         data = encode_client_request(fastcgi_id, request)
         connection.open_requests[fastcgi_id] = request
         connection.last_used_at = time.monotonic()
@@ -132,7 +135,7 @@
             connection.open_requests.pop(fastcgi_id, None)
             connection.closed = True
             return False
-        if request.sent_at is None:  # an answer may have come before this task runs on
+        if request.sent_at is None:  # unless the answer was read before this task resumed
             request.sent_at = time.monotonic()
         return True
 
@@ -150,7 +153,7 @@
         await trio.aclose_forcefully(connection.stream)
 
     async def _abort(self, connection: ClientConnection, fastcgi_id: int, request: ClientRequest) -> None:
-        request.cancelled_at = time.monotonic()  # before the answer that the abort may bring about
+        request.cancelled_at = time.monotonic()  # set first, since the abort itself may cause an answer
         try:
             async with connection.send_lock:
                 await connection.stream.send_all(encode_record(RecordType.ABORT_REQUEST, fastcgi_id))
@@ -158,7 +161,7 @@
             request.cancelled_at = None
 
     async def _read(self, connection: ClientConnection) -> None:
-        """Takes in the answers on a connection until it ends."""
+        """Reads the answers on a connection until it ends."""
         try:
             async for record in read_records(StreamReader(connection.stream)):
                 connection.last_used_at = time.monotonic()
--- a/edge_router/fault_injection/fastcgi_client.py
+++ b/edge_router/fault_injection/fastcgi_client.py
@@ -1,4 +1,4 @@
-"""A blocking FastCGI client, as a web server is to the router."""
+"""A blocking FastCGI client, which takes the place of a web server in front of the router."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 TIMEOUT = 20.0  # seconds
 REQUEST_TIMEOUT_MS = 3000
-GROUP = 17  # of every object that `request_object` names
-WORKING_SET_KB = 40
-_FASTCGI_ID = 1  # one request at a time
+GROUP = 17  # purge group of all objects that `request_object` requests
+WORKING_SET_KB = 40  # size stated for these objects
+_FASTCGI_ID = 1  # the same for every request, since only one is open at a time
 _OVERLOADED_RESPONSE = Response(503, {"Status": "503 Service Unavailable"}, b"")
 
 
 class FastCgiClient:
-    """One connection to a router, with one request after the other."""
+    """One connection to a router that sends one request at a time."""
 
     def __init__(self, port: int, host: str = LOOPBACK) -> None:
         self._socket = socket.create_connection((host, port), TIMEOUT)
@@ -34,7 +34,7 @@
     def request(self, path: str, headers: Mapping[str, str] | None = None) -> Response:
         """Sends a request and waits for the answer; header names are those of CGI without `HTTP_`.
 
-        Raises EOFError if the router closes the connection, ProtocolError for an answer that can't be parsed.
+        Raises EOFError if the router closes the connection, and ProtocolError if the answer can't be parsed.
         """
         self._socket.sendall(encode_request(_FASTCGI_ID, path, headers or {}))
         output = b""
@@ -47,7 +47,7 @@
         raise EOFError("the router closed the connection")
 
     def request_object(self, class_name: str, object_id: str, request_id: str, part: str = "0") -> Response:
-        """Requests a part of an object; both ids are 16 hexadecimal digits."""
+        """Requests one part of an object; both ids are 16 hexadecimal digits. Raises like `request`."""
         headers = {
             "X_TXN": request_id,
             "X_TTL_MS": str(REQUEST_TIMEOUT_MS),
--- a/edge_router/fault_injection/faults.py
+++ b/edge_router/fault_injection/faults.py
@@ -16,12 +16,12 @@
 from edge_router.fault_injection.scenario import FaultKind, ScheduledFault
 from edge_router.fault_injection.traffic import GROUPS, object_id_of
 
-CRASH_DETECTION_TIME = 1.0  # seconds until clients send nothing more to a router that was killed
+CRASH_DETECTION_TIME = 1.0  # seconds after which clients stop sending to a killed router
 MAX_ROUTER_PAUSE = 0.4  # seconds
-BURST_FACTOR = 6.0
-PURGED_OBJECTS = 5  # the most popular ones
+BURST_FACTOR = 6.0  # by which the request rate is multiplied
+PURGED_OBJECTS = 5  # purges choose among this number of the most popular objects
 
-# Faults that the cache process, or the proxy before it, injects into itself.
+# Faults that the cache process or the proxy in front of it simulates on command.
 CACHE_FAULTS = {
     FaultKind.HANG,
     FaultKind.ERROR_RESPONSES,
@@ -32,7 +32,7 @@
 
 
 class FaultInjector:
-    """Injects one fault at a time; several calls may overlap."""
+    """Injects the faults; calls may overlap, as the faults of a scenario do."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
@@ -55,7 +55,10 @@
         }
 
     async def inject(self, fault: ScheduledFault) -> None:
-        """Injects one fault; returns when it is over, or sooner if a process has it until a moment."""
+        """Injects one fault.
+
+        Returns when the fault is over, or at once if a process simulates the fault and ends it by itself.
+        """
         cache = self._fleet.caches[fault.target % len(self._fleet.caches)]
         router = self._fleet.routers[fault.target % len(self._fleet.routers)]
         until = time.monotonic() + fault.duration
@@ -73,7 +76,7 @@
             await self._router_faults[fault.kind](router, fault.duration)
 
     async def _update_endpoint(self, endpoint: EndpointRecord) -> None:
-        """Adds a change to the logs of all routers, to each after a delay of its own."""
+        """Adds a change to the change logs of all routers, after a random delay for each router."""
 
         async def update(log: ChangeLog) -> None:
             await trio.sleep(self._fleet.random.uniform(0.04, 0.4))
@@ -109,9 +112,10 @@
         await self._update_endpoint(cache.endpoint_record(EndpointState.READY))
 
     async def _purge(self, fault: ScheduledFault) -> None:
-        """Purges an object or, one time in three, a group.
+        """Purges an object or, one time in three, a purge group.
 
-        Caches drop the object's copies only later, so that meanwhile a router must not use them.
+        Caches drop the copies of a purged object only later, and those of a purge group never; meanwhile,
+        routers have to reject these copies.
         """
         number = 1 + fault.target % PURGED_OBJECTS
         object_id, group = object_id_of(number), number % GROUPS
@@ -178,7 +182,7 @@
         router.process.kill()
         await trio.sleep(min(CRASH_DETECTION_TIME, duration))
         if router.clients:
-            router.clients.accepting = False
+            router.clients.sending = False
         router.change_log.restart()
         await self._fleet.start_router(router)
         router.restarting = False
--- a/edge_router/fault_injection/faulty_router.py
+++ b/edge_router/fault_injection/faulty_router.py
@@ -1,7 +1,7 @@
 """Runs the router with faults in its system calls: `python -m edge_router.fault_injection.faulty_router`.
 
-The schedule comes in the environment (`FAULTS_VARIABLE`). This module replaces `time.time`, `socket.socket`
-and `open` before the router's own modules are imported; the router's code stays as it is.
+The fault schedule comes in the environment variable `FAULTS_VARIABLE`. This module replaces `time.time`,
+`socket.socket` and `open` before the router's own modules are imported; the router's code is not changed.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
 
 
 class FaultySocket(socket.socket):
-    """A socket whose calls fail as `schedule` says, if it is a TCP socket."""
+    """A socket whose calls fail according to `schedule` if it is an IPv4 socket."""
 
     schedule: ClassVar[FaultSchedule]
 
@@ -69,8 +69,8 @@
             raise_fault(fault)
         super().__init__(family, type, proto, fileno)
 
-    def _fault(self, call: SystemCall) -> int | None:
-        """Raises the error that the call has now, or returns the bytes it may transfer (None: all)."""
+    def _apply_fault(self, call: SystemCall) -> int | None:
+        """Raises the error of an active fault, or returns the bytes that it can transfer (None: all)."""
         if self.family != socket.AF_INET:
             return None
         fault = self.schedule.next_fault(call)
@@ -80,47 +80,47 @@
         return 1
 
     def accept(self) -> tuple[socket.socket, Any]:
-        """As in `socket`; raises OSError while the call has a fault."""
-        self._fault(SystemCall.ACCEPT)
+        """As in `socket`, but raises OSError while the call has a fault."""
+        self._apply_fault(SystemCall.ACCEPT)
         return super().accept()
 
     def connect(self, address: Any, /) -> None:
-        """As in `socket`; raises OSError while the call has a fault."""
-        self._fault(SystemCall.CONNECT)
+        """As in `socket`, but raises OSError while the call has a fault."""
+        self._apply_fault(SystemCall.CONNECT)
         super().connect(address)
 
     def send(self, data: Readable, flags: int = 0, /) -> int:  # type: ignore[override]
-        """As in `socket`; raises OSError or sends a single byte while the call has a fault."""
-        limit = self._fault(SystemCall.SEND)
+        """As in `socket`, but raises OSError or sends a single byte while the call has a fault."""
+        limit = self._apply_fault(SystemCall.SEND)
         return super().send(data if limit is None else memoryview(data)[:limit], flags)
 
     def recv(self, size: int, flags: int = 0, /) -> bytes:
-        """As in `socket`; raises OSError or receives a single byte while the call has a fault."""
-        limit = self._fault(SystemCall.RECEIVE)
+        """As in `socket`, but raises OSError or receives a single byte while the call has a fault."""
+        limit = self._apply_fault(SystemCall.RECEIVE)
         return super().recv(size if limit is None else min(size, limit), flags)
 
     def recv_into(  # type: ignore[override]
         self, buffer: Writable, nbytes: int = 0, flags: int = 0
     ) -> int:
-        """As in `socket`; raises OSError or receives a single byte while the call has a fault."""
-        limit = self._fault(SystemCall.RECEIVE)
+        """As in `socket`, but raises OSError or receives a single byte while the call has a fault."""
+        limit = self._apply_fault(SystemCall.RECEIVE)
         return super().recv_into(buffer, nbytes if limit is None else limit, flags)
 
 
 def faulty_socket(schedule: FaultSchedule) -> type[FaultySocket]:
-    """A socket class with the faults of that schedule."""
+    """Returns a socket class with the faults of a schedule."""
     return type("ScheduledFaultySocket", (FaultySocket,), {"schedule": schedule})
 
 
 def install(schedule: FaultSchedule) -> None:
-    """Puts all faults in place; to be called before the import of the modules that are to have them."""
+    """Installs all faults; to be called before the import of the modules that they affect."""
     _install_clock(schedule)
     _install_files(schedule)
     socket.socket = faulty_socket(schedule)  # type: ignore[misc]
 
 
 def main() -> int:
-    """Runs one router with the faults that the environment holds; returns its exit status."""
+    """Runs one router with the faults given in the environment; returns its exit status."""
     install(FaultSchedule.from_json(os.environ[FAULTS_VARIABLE]))
     from edge_router.server.main import main as serve
 
--- a/edge_router/fault_injection/fleet.py
+++ b/edge_router/fault_injection/fleet.py
@@ -1,4 +1,4 @@
-"""The processes of one run: caches, the proxy before them, routers with their change logs and clients."""
+"""The processes of one run: caches, the proxy in front of them, and routers with change logs and clients."""
 
 from __future__ import annotations
 
@@ -44,13 +44,13 @@
 SIGKILL_AFTER = 3.7  # seconds after SIGTERM
 ENDPOINT_WEIGHT = 8000
 PARENTS = 2
-UNUSED_PORT = 1  # of endpoints that are only named as sources, never connected to
-RATE_FACTORS = (0.4, 0.7, 1.0, 1.0, 1.9)  # routers get uneven shares of the traffic
+UNUSED_PORT = 1  # of parents and the origin: routers name them as sources but never connect to them
+RATE_FACTORS = (0.4, 0.7, 1.0, 1.0, 1.9)  # by which the routers' request rates differ
 
 
 @dataclass(slots=True)
 class CacheSlot:
-    """One cache of the fleet and its present process."""
+    """One cache of the fleet and its current process."""
 
     cache_id: int
     port: int
@@ -62,13 +62,13 @@
     def endpoint_record(
         self, state: EndpointState = EndpointState.READY, started_ms: int = 0
     ) -> EndpointRecord:
-        """Its entry in the endpoint list; routers reach it by the proxy."""
+        """Returns the cache's entry in the endpoint list, with the proxy's port, which routers connect to."""
         return EndpointRecord(self.cache_id, self.proxy_port, state, 1, 0, ENDPOINT_WEIGHT, started_ms)
 
 
 @dataclass(slots=True)
 class RouterSlot:
-    """One router of the fleet, its change log, its clients and its present process."""
+    """One router of the fleet, its change log, its clients and its current process."""
 
     number: int
     name: str
@@ -81,15 +81,15 @@
     clients: Clients | None = None
     bad_clients: BadClients | None = None
     restarting: bool = False
-    listener_scope: trio.CancelScope | None = None  # of the change log's present address
+    listener_scope: trio.CancelScope | None = None  # of the change log's current address
 
     def is_ready(self) -> bool:
-        """Whether its present process has answered a health check."""
+        """Whether the current process has answered a health check."""
         return self.process is not None and self.run is not None and self.run.ready_at is not None
 
 
 class Fleet:
-    """Starts, configures and ends the processes, and records what they report."""
+    """Starts, configures and ends the processes, and records their reports."""
 
     def __init__(self, scenario: Scenario, folder: Path, nursery: trio.Nursery) -> None:
         self.scenario, self.observations = scenario, Observations()
@@ -106,7 +106,7 @@
         self._processes: list[trio.Process] = []
 
     async def start(self) -> None:
-        """Starts everything but the clients; raises trio.TooSlowError if a process does not come up."""
+        """Starts everything but the clients; raises trio.TooSlowError if a cache or the proxy is late."""
         async with trio.open_nursery() as nursery:
             for cache in self.caches:
                 nursery.start_soon(self.start_cache, cache)
@@ -129,7 +129,7 @@
         return endpoints
 
     def _add_router(self, number: int, endpoints: list[EndpointRecord]) -> RouterSlot:
-        # Each router has an address of its own, apart from those of other runs on this machine.
+        # The address depends on the router and the seed, so that concurrent runs on a machine don't collide.
         host = f"127.77.{number + 1}.{self.scenario.seed % 250 + 1}"
         name = f"n{number}"
         folder = self._folder / name
@@ -146,7 +146,7 @@
         return process
 
     def kill_all(self) -> None:
-        """Kills every process that is left; to be called however the run ends."""
+        """Kills all processes that still run; to be called however the run ends."""
         for process in self._processes:
             if process.poll() is None:
                 process.kill()
@@ -154,7 +154,7 @@
     # Caches and the proxy.
 
     async def start_cache(self, cache: CacheSlot) -> None:
-        """Starts the cache's process and waits until it listens; raises trio.TooSlowError."""
+        """Starts the cache's process; raises trio.TooSlowError if it is not ready in time."""
         cache.ready = trio.Event()
         arguments = str(cache.cache_id), str(cache.port), str(self.random.getrandbits(30))
         cache.process = await self._spawn(
@@ -163,7 +163,7 @@
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
         )
-        self._nursery.start_soon(self._follow_reports, cache.process, cache)
+        self._nursery.start_soon(self._read_reports, cache.process, cache)
         with trio.fail_after(PROCESS_READY_TIMEOUT):
             await cache.ready.wait()
 
@@ -176,12 +176,12 @@
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
         )
-        self._nursery.start_soon(self._follow_reports, self.proxy, None)
+        self._nursery.start_soon(self._read_reports, self.proxy, None)
         with trio.fail_after(PROCESS_READY_TIMEOUT):
             await self._proxy_ready.wait()
 
-    async def _follow_reports(self, process: trio.Process, cache: CacheSlot | None) -> None:
-        """Records what a cache process, or without a cache the proxy, reports."""
+    async def _read_reports(self, process: trio.Process, cache: CacheSlot | None) -> None:
+        """Records the reports of a cache's process, or of the proxy if `cache` is None."""
         assert process.stdout is not None
         rest = b""
         async for data in process.stdout:
@@ -202,7 +202,7 @@
             cache.ready.set()
 
     async def send_command(self, process: trio.Process | None, command: HarnessCommand) -> None:
-        """Sends a command to a cache's or the proxy's process, if it runs."""
+        """Sends a command to a cache's or the proxy's process; does nothing if it does not run."""
         if process is None or process.stdin is None or process.poll() is not None:
             return
         try:
@@ -214,7 +214,7 @@
     # Routers.
 
     async def listen_change_log(self, router: RouterSlot, port: int) -> None:
-        """Opens the router's change log at that port, in place of the one before."""
+        """Opens the router's change log at a port and stops listening at the previous one."""
         if router.listener_scope is not None:
             router.listener_scope.cancel()
         listeners = await trio.open_tcp_listeners(port, host=LOOPBACK)
@@ -228,7 +228,7 @@
         router.change_log_port = port
 
     def write_config(self, router: RouterSlot) -> Path:
-        """Replaces the router's configuration file; what it names counts as sent to the router."""
+        """Replaces the router's configuration file; the purges in it count as sent to the router now."""
         purges = [replace(purge, at=time.monotonic()) for purge in router.change_log.recent_purges]
         router.change_log.recent_purges = []
         self.observations.purges += purges
@@ -254,7 +254,7 @@
         return FaultSchedule(faults, self.scenario.seed * 100 + router.number)
 
     async def start_router(self, router: RouterSlot) -> None:
-        """Starts the router's process and waits until it answers its health check, 20 s at most."""
+        """Starts the router's process and waits until it answers its health check, for 20 s at most."""
         path = self.write_config(router)
         schedule = self._fault_schedule(router)
         router.run = RouterRun(router.name, time.monotonic())
@@ -272,7 +272,7 @@
                 await trio.sleep(0.05)
             router.run.ready_at = time.monotonic()
         if router.clients:
-            router.clients.accepting = True
+            router.clients.sending = True
 
     async def _answers_health_check(self, router: RouterSlot) -> bool:
         try:
@@ -292,7 +292,10 @@
         run.exit_code = exit_code
 
     async def terminate_router(self, router: RouterSlot) -> None:
-        """A planned stop: SIGTERM, requests for a moment more, SIGKILL if it takes too long."""
+        """Stops a router as planned.
+
+        The clients continue for a moment after SIGTERM. A router that takes too long to end gets SIGKILL.
+        """
         process, run = router.process, router.run
         if process is None or run is None or process.poll() is not None:
             return
@@ -300,16 +303,16 @@
         process.send_signal(signal.SIGTERM)
         await trio.sleep(self.random.uniform(0.2, 0.4))
         if router.clients:
-            router.clients.accepting = False
+            router.clients.sending = False
         with trio.move_on_after(SIGKILL_AFTER - (time.monotonic() - run.sigterm_at)):
             await process.wait()
         if process.poll() is None:
-            process.kill()  # not recorded as SIGKILL: what is unanswered now counts as lost
+            process.kill()  # not recorded as SIGKILL, so that unanswered requests count as lost
         while run.exit_code is None:
             await trio.sleep(0.02)
 
     def start_clients(self) -> None:
-        """Starts the clients of all routers; they send until the end of the traffic."""
+        """Starts the clients of all routers; they send requests until the end of the traffic."""
         until = self.traffic_starts_at + self.scenario.seconds
         for router in self.routers:
             seed = self.scenario.seed * 1000 + router.number
--- a/edge_router/fault_injection/harness.py
+++ b/edge_router/fault_injection/harness.py
@@ -13,11 +13,11 @@
 from edge_router.fault_injection.observations import Observations
 from edge_router.fault_injection.scenario import Scenario
 
-SETTLING_TIME = 3.5  # seconds after the end of the traffic for requests that are still open
+SETTLING_TIME = 3.5  # seconds after the end of the traffic in which open requests may finish
 
 
 async def _sleep_until(moment: float) -> None:
-    """Sleeps until that moment of the machine's monotonic clock."""
+    """Sleeps until a time of the machine's monotonic clock, in seconds."""
     await trio.sleep(max(0.0, moment - time.monotonic()))
 
 
@@ -33,7 +33,7 @@
             nursery.start_soon(injector.inject, fault)
     await _sleep_until(start + scenario.seconds + SETTLING_TIME)
     fleet.observations.routers_behind_change_log += [
-        router.name for router in fleet.routers if not router.change_log.is_followed_to_its_end()
+        router.name for router in fleet.routers if not router.change_log.has_sent_all_events()
     ]
     async with trio.open_nursery() as nursery:
         for router in fleet.routers:
@@ -42,7 +42,10 @@
 
 
 def run_scenario(scenario: Scenario, folder: Path | None = None) -> Observations:
-    """Runs a scenario in real time; logs and configurations are left in `folder`, if one is given."""
+    """Runs a scenario in real time and returns the observations.
+
+    Logs and configurations are left in `folder`, if one is given.
+    """
 
     async def run(path: Path) -> Observations:
         async with trio.open_nursery() as nursery:
--- a/edge_router/fault_injection/scenario.py
+++ b/edge_router/fault_injection/scenario.py
@@ -1,4 +1,4 @@
-"""One run of the fault injection, drawn from a seed: settings, fleet, traffic and scheduled faults."""
+"""The scenario of one run, drawn from a seed: settings, fleet size, request rate and scheduled faults."""
 
 from __future__ import annotations
 
@@ -13,43 +13,45 @@
 ENDPOINT_KINDS = ("box", "parent", "origin")
 FIRST_CACHE_ID, FIRST_PARENT_ID, ORIGIN_ID = 0x100, 0x200, 0x300
 FIRST_FAULT_AT = 3.0  # seconds after the start of the traffic
-QUIET_END = 4.0  # seconds at the end of the traffic in which no fault starts
-CLIENT_BANDWIDTH_KB = 4000.0  # KB a second of one transfer, as the settings give it
-SECOND_FAULT_CHANCE = 0.4  # of each fault, that another one starts at about the same time
+FAULT_FREE_END = 4.0  # seconds at the end of the traffic in which no fault starts
+CLIENT_BANDWIDTH_KB = 4000.0  # KB/s of one transfer, as stated in the settings
+SECOND_FAULT_CHANCE = 0.4  # probability that a second fault starts at about the same time as a fault
 
 
 class FaultKind(StrEnum):
-    """What can go wrong in the router's environment; the comment says what happens."""
+    """Faults in the routers' environment; the values are their names in the report."""
 
-    HANG = "hang"  # a cache accepts requests and answers none
+    HANG = "hang"  # a cache accepts requests and answers none of them
     PAUSE = "pause"  # a cache process is stopped (SIGSTOP) and continues later
     KILL = "kill"  # a cache process is killed and restarts with no copies
     RESET = "reset"  # the proxy resets connections to a cache
-    PARTITION = "partition"  # the proxy forwards nothing, to and from a cache
+    PARTITION = "partition"  # the proxy forwards nothing to and from a cache
     SLOW_LINK = "slow-link"  # the proxy forwards bytes in small pieces, with pauses
-    SLOW_CONNECT = "slow-connect"  # the proxy accepts connections and starts to forward only later
-    ERROR_RESPONSES = "error-responses"  # a cache answers with an error or with 'overloaded'
+    SLOW_CONNECT = "slow-connect"  # the proxy accepts connections but starts to forward only later
+    ERROR_RESPONSES = (
+        "error-responses"  # a cache answers some requests with status 500 (error) or 503 (overloaded)
+    )
     CORRUPT_RESPONSES = "corrupt-responses"  # a cache's answers are malformed, sent twice, or cut short
     RESET_IDLE = "reset-idle"  # a cache resets its idle connections
-    DRAIN = "drain"  # the change log says that a cache drains, then that it is removed, then that it is back
+    DRAIN = "drain"  # the change log announces a cache as draining, then as removed, then as ready
     PURGE = "purge"  # an object or a group is purged
-    SILENT_LOG = "silent-log"  # the change log sends nothing more on its connections
+    SILENT_LOG = "silent-log"  # the change log sends nothing on its connections
     RESET_LOG = "reset-log"  # the change log's connections are reset
     SLOW_LOG = "slow-log"  # complete lists take seconds to arrive
-    MOVED_LOG = "moved-log"  # a new configuration and SIGHUP: the change log has another address
-    RELOADS = "reloads"  # several new configurations in quick succession, back to the first address
+    MOVED_LOG = "moved-log"  # the change log moves to another address (new configuration and SIGHUP)
+    RELOADS = "reloads"  # several such moves in quick succession; the last one returns to the first address
     RESTART = "restart"  # a router gets SIGTERM and restarts
     CRASH = "crash"  # a router gets SIGKILL and restarts
-    BURST = "burst"  # clients send many more requests
+    BURST = "burst"  # a router's clients send several times their usual rate
     BAD_CLIENTS = "bad-clients"  # clients send noise, incomplete requests or bodies without end
-    ROUTER_PAUSE = "router-pause"  # a router process is stopped for some hundred milliseconds
+    ROUTER_PAUSE = "router-pause"  # a router process is stopped (SIGSTOP) for some hundred milliseconds
 
 
 @dataclass(frozen=True, slots=True)
 class ScheduledFault:
-    """One fault: when (seconds after the start of the traffic), for how many seconds, and what it affects.
+    """One fault: its start (seconds after the start of the traffic), its duration in seconds and its target.
 
-    `target` chooses a cache or a router, modulo their number.
+    `target` modulo the number of caches or routers is the index of the affected one.
     """
 
     at: float
@@ -58,25 +60,25 @@
     target: int
 
     def text(self) -> str:
-        """One line for the report."""
+        """Returns the line for the report."""
         return f"{self.at:6.2f} s  {self.kind:<17} target {self.target} for {self.duration:.2f} s"
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """Everything that a seed fixes for one run."""
+    """All parameters of one run, as drawn from a seed."""
 
     seed: int
     routers: int
     caches: int
     seconds: float
-    rate: float  # requests a second at each router
+    rate: float  # mean requests per second at each router
     faults: tuple[ScheduledFault, ...]
-    # By router; the times count from the start of the traffic.
+    # By number of the router; the times are seconds after the start of the traffic.
     system_call_faults: dict[int, tuple[SystemCallFault, ...]] = field(default_factory=dict)
 
     def settings(self) -> dict[str, Any]:
-        """The settings that the routers get, in the form of the platform's configuration file."""
+        """Returns the section `settings` of the routers' configuration file."""
         return {
             "areas": list(ZONES),
             "models": list(ENDPOINT_KINDS),
@@ -163,11 +165,11 @@
     (SystemCall.RECEIVE, "ETIMEDOUT"),
 )
 _CLOCK_STEPS = (-3600.0, -30.0, -1.5, 2.5, 30.0, 3600.0)  # seconds
-_FOREVER = 1e6  # seconds
+_BEYOND_RUN = 1e6  # seconds; longer than any run
 
 
 def _draw_system_call_faults(generator: random.Random, seconds: float) -> tuple[SystemCallFault, ...]:
-    """Faults of one router's own system: calls that fail for a moment, and perhaps a clock that steps."""
+    """Draws the system call faults of one router: calls that fail for a short time, perhaps a clock step."""
     faults = []
     for _ in range(generator.randint(0, 3)):
         call, error = generator.choice(_FAILING_CALLS)
@@ -177,17 +179,17 @@
         faults.append(SystemCallFault(call, error, start, start + duration, chance))
     if generator.random() < 0.5:
         start = generator.uniform(FIRST_FAULT_AT, seconds - 2.0)
-        end = start + generator.choice((2.0, _FOREVER))
+        end = start + generator.choice((2.0, _BEYOND_RUN))
         step = generator.choice(_CLOCK_STEPS)
         faults.append(SystemCallFault(SystemCall.CLOCK, start=start, end=end, step=step))
     return tuple(faults)
 
 
 def _draw_faults(generator: random.Random, seconds: float) -> tuple[ScheduledFault, ...]:
-    """Faults about once a second, long enough to overlap; some start together."""
+    """Draws about one fault per second, most of them long enough to overlap; some start together."""
     kinds = list(FaultKind)
     faults, at = [], FIRST_FAULT_AT
-    while at < seconds - QUIET_END:
+    while at < seconds - FAULT_FREE_END:
         kind = generator.choice(kinds)
         target = generator.randrange(1 << 16)
         faults.append(ScheduledFault(at, generator.uniform(0.3, 4.0), kind, target))
@@ -203,7 +205,7 @@
 def draw_scenario(
     seed: int, seconds: float = 20.0, routers: int = 6, caches: int = 6, rate: float = 20.0
 ) -> Scenario:
-    """The scenario of a seed."""
+    """Draws the scenario of a seed; the same arguments always give the same scenario."""
     generator = random.Random(seed)
     faults = _draw_faults(generator, seconds)
     system_call_faults = {number: _draw_system_call_faults(generator, seconds) for number in range(routers)}
--- a/edge_router/fault_injection/system_call_faults.py
+++ b/edge_router/fault_injection/system_call_faults.py
@@ -1,8 +1,8 @@
 """The faults that a process injects into its own system calls: which call fails, how, and when.
 
-A fault is active while the system's monotonic clock, which all processes of a machine share, is within its
-time span, or while its flag file exists. So a harness can fix all faults of a process before it starts, and
-hand them over as JSON in the environment.
+A fault is active while the system's monotonic clock, which all processes of a machine share, is within the
+fault's time span, or while its flag file exists. A harness can therefore schedule all faults of a process
+before it starts, and pass them as JSON in the environment.
 """
 
 from __future__ import annotations
@@ -21,22 +21,22 @@
 class SystemCall(StrEnum):
     """The calls that can be made to fail."""
 
-    CLOCK = "clock"  # the wall clock; the fault's `step` is added to it
+    CLOCK = "clock"  # reading the wall clock; the fault's `step` is added to the time
     SOCKET = "socket"
     ACCEPT = "accept"
     CONNECT = "connect"
     SEND = "send"
     RECEIVE = "receive"
-    OPEN = "open"  # files; the fault's `path` has to be part of the name
+    OPEN = "open"  # opening a file whose name contains the fault's `path`
 
 
 @dataclass(frozen=True, slots=True)
 class SystemCallFault:
     """One fault of one call.
 
-    `error` is the name of an errno; without one, `send` and `receive` transfer a single byte. `start` and
-    `end` are seconds of `time.monotonic()`; `chance` is the probability that a call fails while the fault is
-    active; `flag` is the path of a file.
+    `error` is the name of an errno; if it is empty, `send` and `receive` transfer a single byte. `start` and
+    `end` are seconds of `time.monotonic()`. `chance` is the probability that a call fails while the fault is
+    active. `step` is in seconds. `flag` is the path of a file; the fault is also active while it exists.
     """
 
     call: SystemCall
@@ -49,14 +49,14 @@
     flag: str = ""
 
     def active(self, now: float) -> bool:
-        """Whether calls can fail at that moment."""
+        """Whether calls can fail at the time `now`."""
         if self.flag and os.path.exists(self.flag):
             return True
         return self.start <= now < self.end
 
 
 class FaultSchedule:
-    """All faults of one process, with a random generator of its own so that a seed replays them."""
+    """All faults of one process, with a separate random generator so that a seed reproduces them."""
 
     def __init__(self, faults: list[SystemCallFault], seed: int = 0) -> None:
         self.faults = faults
@@ -65,7 +65,7 @@
 
     @classmethod
     def from_json(cls, text: str) -> FaultSchedule:
-        """The schedule that `to_json` wrote; raises ValueError if the text is no JSON."""
+        """Parses what `to_json` wrote; raises ValueError if the text is not JSON."""
         table = json.loads(text)
         faults = [
             SystemCallFault(**{**entry, "call": SystemCall(entry["call"])}) for entry in table["faults"]
@@ -73,11 +73,11 @@
         return cls(faults, int(table["seed"]))
 
     def to_json(self) -> str:
-        """The schedule as text for the environment."""
+        """Returns the schedule as JSON text, to be passed in the environment."""
         return json.dumps({"seed": self.seed, "faults": [asdict(fault) for fault in self.faults]})
 
     def next_fault(self, call: SystemCall, path: str = "") -> SystemCallFault | None:
-        """The fault that this call has now, if any."""
+        """Returns the fault with which a call fails now, if any; `path` is the name of the opened file."""
         now = time.monotonic()
         for fault in self.faults:
             if fault.call is not call or fault.path not in path or not fault.active(now):
@@ -87,7 +87,7 @@
         return None
 
     def clock_step(self) -> float:
-        """Seconds by which the wall clock is wrong now."""
+        """Returns the seconds by which the wall clock is shifted now."""
         now = time.monotonic()
         return sum(
             fault.step for fault in self.faults if fault.call is SystemCall.CLOCK and fault.active(now)
@@ -95,7 +95,7 @@
 
 
 def raise_fault(fault: SystemCallFault) -> None:
-    """Raises the fault's error, if it has one, as the subclass of OSError that belongs to it."""
+    """Raises the fault's error, if it has one, as the subclass of OSError for its errno."""
     if fault.error:
         number = getattr(errno, fault.error)
         raise OSError(number, os.strerror(number))
