--- a/edge_router/fault_injection/cache_process.py
+++ b/edge_router/fault_injection/cache_process.py
@@ -98,7 +98,7 @@
             await self.stream.send_all(data)
 
     def idle_time(self) -> float:
-        """Seconds since its last use."""
+        """Returns the seconds since the last use."""
         return time.monotonic() - self.last_used_at
 
 
--- a/edge_router/fault_injection/faulty_router.py
+++ b/edge_router/fault_injection/faulty_router.py
@@ -70,7 +70,7 @@
         super().__init__(family, type, proto, fileno)
 
     def _apply_fault(self, call: SystemCall) -> int | None:
-        """Raises the error of an active fault, or returns the bytes that it can transfer (None: all)."""
+        """Raises the error of an active fault, or returns how many bytes to transfer (None: all)."""
         if self.family != socket.AF_INET:
             return None
         fault = self.schedule.next_fault(call)
--- a/edge_router/fault_injection/fleet.py
+++ b/edge_router/fault_injection/fleet.py
@@ -45,7 +45,7 @@
 ENDPOINT_WEIGHT = 8000
 PARENTS = 2
 UNUSED_PORT = 1  # of parents and the origin: routers name them as sources but never connect to them
-RATE_FACTORS = (0.4, 0.7, 1.0, 1.0, 1.9)  # by which the routers' request rates differ
+RATE_FACTORS = (0.4, 0.7, 1.0, 1.0, 1.9)  # of the request rate: routers get uneven shares of the traffic
 
 
 @dataclass(slots=True)
@@ -294,7 +294,7 @@
     async def terminate_router(self, router: RouterSlot) -> None:
         """Stops a router as planned.
 
-        The clients continue for a moment after SIGTERM. A router that takes too long to end gets SIGKILL.
+        Its clients send for another 0.2 to 0.4 s after SIGTERM. A router that does not end in time is killed.
         """
         process, run = router.process, router.run
         if process is None or run is None or process.poll() is not None:
--- a/edge_router/fault_injection/oracle.py
+++ b/edge_router/fault_injection/oracle.py
@@ -193,9 +193,7 @@
         else:
             continue
         if elapsed > allowed:
-            yield _violation(
-                rule, request, f"started {elapsed:.3f} s after that, at cache {attempt.cache_id:x}"
-            )
+            yield _violation(rule, request, f"{elapsed:.3f} s after that, at cache {attempt.cache_id:x}")
 
 
 def check_deadlines(evidence: Evidence) -> Iterator[Violation]:
@@ -290,7 +288,7 @@
     """Checks that no read is answered with a copy older than a purge that its router has to know.
 
     A router has to know a purge for each request whose first attempt starts after the grace period
-    (`heed_within`, counted from the moment at which the change log sent the purge), with `TIMING_TOLERANCE`
+    (`heed_within`, counted from the time at which the change log sent the purge), with `TIMING_TOLERANCE`
     and `OBSERVATION_DELAY` added (rule `purge`).
     """
     grace = float(evidence.scenario.settings()["domain"]["heed_within"]) / 1000.0
@@ -311,7 +309,7 @@
 def check_slow_starts(evidence: Evidence) -> Iterator[Violation]:
     """Checks that all routers together keep to the slow-start budget of each restarted cache.
 
-    The budget counts from the moment at which the change log first sent the restart to a router (rule
+    The warm-up counts from the time at which the change log first sent the restart to a router (rule
     `slow-start`).
     """
     rules = evidence.scenario.settings()["rules"]
--- a/edge_router/fault_injection/scenario.py
+++ b/edge_router/fault_injection/scenario.py
@@ -28,22 +28,20 @@
     PARTITION = "partition"  # the proxy forwards nothing to and from a cache
     SLOW_LINK = "slow-link"  # the proxy forwards bytes in small pieces, with pauses
     SLOW_CONNECT = "slow-connect"  # the proxy accepts connections but starts to forward only later
-    ERROR_RESPONSES = (
-        "error-responses"  # a cache answers some requests with status 500 (error) or 503 (overloaded)
-    )
+    ERROR_RESPONSES = "error-responses"  # a cache answers some requests with status 500 or 503 (overloaded)
     CORRUPT_RESPONSES = "corrupt-responses"  # a cache's answers are malformed, sent twice, or cut short
     RESET_IDLE = "reset-idle"  # a cache resets its idle connections
     DRAIN = "drain"  # the change log announces a cache as draining, then as removed, then as ready
-    PURGE = "purge"  # an object or a group is purged
+    PURGE = "purge"  # an object or a purge group is purged
     SILENT_LOG = "silent-log"  # the change log sends nothing on its connections
     RESET_LOG = "reset-log"  # the change log's connections are reset
-    SLOW_LOG = "slow-log"  # complete lists take seconds to arrive
+    SLOW_LOG = "slow-log"  # the change log resets its connections, then takes seconds to send a list
     MOVED_LOG = "moved-log"  # the change log moves to another address (new configuration and SIGHUP)
     RELOADS = "reloads"  # several such moves in quick succession; the last one returns to the first address
     RESTART = "restart"  # a router gets SIGTERM and restarts
     CRASH = "crash"  # a router gets SIGKILL and restarts
     BURST = "burst"  # a router's clients send several times their usual rate
-    BAD_CLIENTS = "bad-clients"  # clients send noise, incomplete requests or bodies without end
+    BAD_CLIENTS = "bad-clients"  # clients send random bytes, incomplete requests, overlong bodies or nothing
     ROUTER_PAUSE = "router-pause"  # a router process is stopped (SIGSTOP) for some hundred milliseconds
 
 
