--- a/edge_router/model_checker/mutations/proxy.py
+++ b/edge_router/model_checker/mutations/proxy.py
@@ -288,7 +288,7 @@
         "draining-counts-as-ready",
         endpoint_table.EndpointTable,
         "is_ready",
-        "address.endpoint.state is EndpointState.READY",
+        "listed.endpoint.state is EndpointState.READY",
         "True",
         ("drain",),
         "no-drained",
--- a/edge_router/runtime/clock.py
+++ b/edge_router/runtime/clock.py
@@ -7,10 +7,10 @@
 
 
 class Clock:
-    """Milliseconds of real time, counted from the Unix time at the start of the router.
+    """Milliseconds of real time, starting at the Unix time at which the router started.
 
-    It runs with the monotonic clock, so that a step of the system's wall clock changes no duration. Unix
-    times of other machines are translated by `PeerClock`.
+    It advances with the monotonic clock, so that steps of the system's wall clock change no duration.
+    `PeerClock` translates Unix times of other machines to this clock.
     """
 
     def __init__(
@@ -22,9 +22,9 @@
         self._start = (wall() - monotonic()) * 1000.0
 
     def now(self) -> float:
-        """The present moment, in milliseconds; it never goes back."""
+        """Returns the present moment in milliseconds; it never goes back."""
         return self._monotonic() * 1000.0 + self._start
 
     def wall_offset(self) -> float:
-        """By how many milliseconds the system's wall clock is ahead of this one now."""
+        """Returns by how many milliseconds the system's wall clock is ahead of this one now."""
         return self._wall() * 1000.0 - self.now()
--- a/edge_router/runtime/event_log.py
+++ b/edge_router/runtime/event_log.py
@@ -1,4 +1,4 @@
-"""The structured log: one line per event on standard error. Writing never blocks, even if nobody reads it."""
+"""The structured log: one line per event on standard error. Writing never blocks, even if unread."""
 
 from __future__ import annotations
 
@@ -10,32 +10,32 @@
 
 Sink = Callable[[str, dict[str, object]], None]
 
-MAX_LINES_PER_SECOND = 5  # of one event that peers can cause as often as they like
-MAX_LINE_BYTES = select.PIPE_BUF  # a pipe that polls as writable takes so many bytes without blocking
+MAX_LINES_PER_SECOND = 5  # of one rate-limited event
+MAX_LINE_BYTES = select.PIPE_BUF  # a pipe that polls as writable accepts this many bytes without blocking
 STANDARD_ERROR = 2
 NO_DESCRIPTOR = -1  # every write to it fails
 
 _sink: Sink | None = None
-_line_counts: dict[str, tuple[int, int]] = {}  # by event: the second, and the lines requested in it
+_line_counts: dict[str, tuple[int, int]] = {}  # by event: a second, and the number of lines in it
 
 
 class LineWriter:
-    """Writes lines to a descriptor, and counts those that it drops because a write would block or fails."""
+    """Writes lines to a file descriptor; drops and counts lines whose write would block or fails."""
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
         self._poll: select.poll | None = None
-        self.dropped = 0  # lines since the last one that was written
+        self.dropped = 0  # lines dropped since the last one that was written
         try:
             can_block = not stat.S_ISREG(os.fstat(descriptor).st_mode)
-        except OSError:  # it is closed, and its number may be reused for a socket later
+        except OSError:  # it is closed, and a socket may get its number later
             can_block, self._descriptor = False, NO_DESCRIPTOR
         if can_block:
             self._poll = select.poll()
             self._poll.register(descriptor, select.POLLOUT)
 
     def write(self, line: str) -> None:
-        """Writes a line, cut to `MAX_LINE_BYTES`, or drops it. Raises nothing."""
+        """Writes a line, truncated to `MAX_LINE_BYTES`, or drops it; never raises."""
         if self.dropped:
             line = f"{time.time():.3f} log-dropped lines={self.dropped}\n{line}"
         data = line.encode(errors="backslashreplace")
@@ -60,15 +60,16 @@
 
 
 def set_sink(sink: Sink | None) -> None:
-    """Passes each event and its fields to `sink` in place of standard error; None restores standard error."""
+    """Passes each event and its fields to `sink` instead of standard error; None restores the latter."""
     global _sink
     _sink = sink
 
 
 def log_rate_limited(event: str, **fields: object) -> None:
-    """Logs an event that a faulty peer could flood the log with.
+    """Logs an event that a faulty peer can cause at any rate.
 
-    At most `MAX_LINES_PER_SECOND` are written; the field `more` of a later line counts those left out.
+    At most `MAX_LINES_PER_SECOND` lines of an event are written in a second. The first line
+    of a later second has a field `more` with the number of lines left out.
     """
     second = int(time.monotonic())
     last_second, count = _line_counts.get(event, (second, 0))
@@ -82,7 +83,7 @@
 
 
 def log(event: str, **fields: object) -> None:
-    """Writes `time event name=value ...`, with values that contain spaces quoted. Raises nothing."""
+    """Writes the line `time event name=value ...`; values that contain spaces are quoted. Never raises."""
     if _sink is not None:
         _sink(event, fields)
         return
--- a/edge_router/runtime/memory_budget.py
+++ b/edge_router/runtime/memory_budget.py
@@ -4,9 +4,9 @@
 
 
 class MemoryBudget:
-    """One count for the whole process, which the platform kills if it uses too much memory.
+    """The bytes reserved in the whole process, which the platform kills if it uses too much memory.
 
-    All counts are in bytes. The limit is checked by `can_reserve` alone.
+    Only `can_reserve` checks the limit (bytes).
     """
 
     def __init__(self) -> None:
@@ -15,17 +15,17 @@
 
     @property
     def used(self) -> int:
-        """How many bytes are reserved."""
+        """The number of reserved bytes."""
         return self._used
 
     def can_reserve(self, count: int) -> bool:
-        """Whether so many more bytes are within the limit."""
+        """Whether `count` more bytes fit within the limit."""
         return self._used + count <= self.limit
 
     def reserve(self, count: int) -> None:
-        """Counts so many bytes as reserved, whatever the limit."""
+        """Reserves `count` bytes, even beyond the limit."""
         self._used += count
 
     def release(self, count: int) -> None:
-        """Gives reserved bytes back."""
+        """Releases `count` reserved bytes."""
         self._used -= count
--- a/edge_router/runtime/peer_clock.py
+++ b/edge_router/runtime/peer_clock.py
@@ -1,14 +1,14 @@
 """Translates Unix times of the caches and the change log into moments of the local clock.
 
-The local wall clock may be stepped, or may have been wrong at the start, so it is not trusted for this. The
+The local wall clock may be stepped, or may have been wrong at startup, so it is not trusted for this. The
 translation starts from the wall clock at the router's start and is corrected by evidence:
 
-- the change log can't report what has not happened: a reported moment in the future shows that the local
-  clock is behind;
-- a copy that the origin gave out for one of our attempts was given out between the attempt's first byte and
-  its response. One from the future shows that the local clock is behind. One from before its attempt need not
-  show anything, as a parent may have joined an earlier fill; but a few that are too old for any fill do, and
-  many in a row do, by the freshest among them.
+- The change log reports only what has happened, so a reported moment in the future shows that the local clock
+  is behind.
+- The origin serves a copy for one of our attempts between the attempt's first byte and its response. A copy
+  served in the future shows that the local clock is behind. A copy served before its attempt need not show
+  anything, as a parent may have joined an earlier fill. But a few in a row that are older than any fill, or
+  many in a row, show that the local clock is ahead; the freshest copies give the offset.
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 from edge_router.runtime.clock import Clock
 from edge_router.runtime.event_log import log
 
-TOLERANCE = 50.0  # ms by which moments of two machines may differ; the page's slack for time limits
-MAX_FILL_DURATION = 10_000.0  # ms by which a copy may be older than its attempt without any clock being off
-MIN_CLEAR_EVIDENCE = 3  # consecutive copies, none explained by a fill, that are believed
-MIN_WEAK_EVIDENCE = 24  # consecutive copies that are believed whatever explains them,
-MIN_WEAK_EVIDENCE_SPAN = 3000.0  # if they arrived over so many ms
-MAX_AHEAD = 86_400_000.0  # ms; a moment further in the future is a mistake and no evidence
+TOLERANCE = 50.0  # ms by which moments of two machines may differ; time limits have the same slack
+MAX_FILL_DURATION = 10_000.0  # ms by which a copy may predate its attempt although all clocks are right
+MIN_CLEAR_EVIDENCE = 3  # consecutive copies that suffice if no fill can explain their age
+MIN_WEAK_EVIDENCE = 24  # consecutive copies that suffice even if fills could explain their age,
+MIN_WEAK_EVIDENCE_SPAN = 3000.0  # provided they arrived over at least this many ms
+MAX_AHEAD = 86_400_000.0  # ms; a moment further in the future is taken for an error
 
 
 class _EarlyCopy(NamedTuple):
-    """A copy that seems to be from before its attempt (both fields in ms)."""
+    """A copy that seems to have been served before its attempt (both fields in ms)."""
 
-    max_offset: float  # largest offset of the peers' clocks that agrees with it
+    max_offset: float  # largest offset of the peers' clocks that is consistent with the copy
     received_at: float
 
 
@@ -39,22 +39,22 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._offset = 0.0  # the peers' Unix time less the local clock
+        self._offset = 0.0  # the peers' Unix time minus the local clock
         self._early_copies: deque[_EarlyCopy] = deque(maxlen=MIN_WEAK_EVIDENCE)
-        self._future_offsets: deque[float] = deque(maxlen=MIN_CLEAR_EVIDENCE)  # least ones of future copies
+        self._future_offsets: deque[float] = deque(maxlen=MIN_CLEAR_EVIDENCE)  # least possible ones
 
     def to_local(self, unix_time: float) -> float:
-        """The moment of the local clock at which the peers' clocks showed that Unix time (both in ms)."""
+        """Returns the moment on the local clock when the peers' clocks showed that Unix time (both in ms)."""
         return unix_time - self._offset
 
     def observe_event(self, unix_time: float) -> None:
-        """Takes in that the change log reported something that happened at that Unix time (ms)."""
+        """Considers an event that, by the change log, happened at that Unix time (ms)."""
         ahead = self.to_local(unix_time) - self._clock.now()
         if TOLERANCE < ahead < MAX_AHEAD:
             self._adjust(self._offset + ahead)
 
     def observe_copy(self, unix_time: float, sent_at: float, received_at: float) -> None:
-        """Takes in that the origin gave a copy out at that Unix time.
+        """Considers a copy that the origin served at that Unix time.
 
         `sent_at` and `received_at` are the local moments of the attempt and of its response (all in ms).
         """
@@ -67,15 +67,15 @@
         elif min_offset > self._offset:
             self._future_offsets.append(min_offset)
             if len(self._future_offsets) == MIN_CLEAR_EVIDENCE:
-                self._adjust(sorted(self._future_offsets)[-2])  # the furthest may be a mistake
+                self._adjust(sorted(self._future_offsets)[-2])  # the furthest one may be an error
         else:
             self._early_copies.append(_EarlyCopy(max_offset, received_at))
             if evidence := self._early_evidence():
-                # The freshest may be a mistake.
+                # The freshest copy may be an error.
                 self._adjust(sorted(copy.max_offset for copy in evidence)[-2])
 
     def _early_evidence(self) -> list[_EarlyCopy]:
-        """The consecutive early copies that show that the local clock is ahead; empty if they don't."""
+        """Returns the consecutive early copies if they show that the local clock is ahead, else none."""
         copies = list(self._early_copies)
         recent = copies[-MIN_CLEAR_EVIDENCE:]
         oldest_fill = self._offset - MAX_FILL_DURATION
--- a/edge_router/runtime/system_errors.py
+++ b/edge_router/runtime/system_errors.py
@@ -1,4 +1,4 @@
-"""Classifies errors of system calls that are caused by the local machine, not by a peer."""
+"""Classifies the system call errors that the local machine causes, as opposed to a peer."""
 
 from __future__ import annotations
 
@@ -13,5 +13,5 @@
 
 
 def is_local_shortage(error: OSError) -> bool:
-    """Whether the call failed for a local shortage, so that a later attempt may succeed."""
+    """Whether the call failed because of a local shortage, so that a later attempt may succeed."""
     return error.errno in RESOURCE_EXHAUSTED or error.errno in LOCAL_NETWORK_FAILURE
--- a/edge_router/runtime/timers.py
+++ b/edge_router/runtime/timers.py
@@ -1,4 +1,4 @@
-"""Timers on the monotonic clock. The event loop that waits for the next one belongs to the caller."""
+"""Timers on the monotonic clock. The caller runs the event loop that waits for the next timer."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from edge_router.runtime.clock import Clock
 from edge_router.runtime.event_log import log
 
-LATE_TIMER_TOLERANCE = 0.02  # seconds; a later timer shows a stall, as the loop's granularity is finer
-STALL_MEMORY = 0.2  # seconds after a stall during which bytes that are read may have arrived in it
+LATE_TIMER_TOLERANCE = 0.02  # seconds; the loop's granularity is finer, so a later timer shows a stall
+STALL_MEMORY = 0.2  # seconds after a stall; bytes read within it may have arrived during the stall
 
 
 def no_wakeup() -> None:
@@ -18,7 +18,7 @@
 
 
 class TimerHandle:
-    """A callback to be run at its time, unless cancelled."""
+    """A scheduled callback, which can be cancelled."""
 
     __slots__ = ("callback",)
 
@@ -26,28 +26,31 @@
         self.callback: Callable[[], None] | None = callback
 
     def cancel(self) -> None:
-        """Cancels the callback; has no effect after it ran."""
+        """Cancels the callback; has no effect once it has run."""
         self.callback = None
 
 
 class Timers:
-    """All timers in the order of their times; steps of the wall clock have no effect on them."""
+    """All timers, ordered by due time; steps of the wall clock have no effect on them."""
 
     def __init__(
         self, clock: Clock, monotonic: Callable[[], float], wake: Callable[[], None] = no_wakeup
     ) -> None:
-        """`monotonic` returns seconds; `wake` is called when a timer becomes the earliest of all."""
+        """Starts without timers.
+
+        `monotonic` returns seconds; `wake` is called when a new timer becomes the earliest.
+        """
         self._clock = clock
         self._monotonic = monotonic
         self._wake = wake
         self._heap: list[tuple[float, int, TimerHandle]] = []
-        self._sequence = 0  # orders timers of the same time
+        self._sequence = 0  # orders timers that are due at the same time
         self._last_run = monotonic()
-        self._stall_start = 0.0  # the last time known to be before the last stall
-        self._stall_end = -math.inf  # when that stall was noticed
+        self._stall_start = 0.0  # latest time known to precede the last stall
+        self._stall_end = -math.inf  # when the last stall was noticed
 
     def call_at(self, moment: float, callback: Callable[[], None]) -> TimerHandle:
-        """Schedules the callback for a moment of the clock (ms); it never runs before this call returns."""
+        """Schedules a callback for a moment of `Clock` (ms); it never runs before this call returns."""
         handle = TimerHandle(callback)
         due = self._monotonic() + (moment - self._clock.now()) / 1000.0
         self._sequence += 1
@@ -58,13 +61,13 @@
         return handle
 
     def next_due(self) -> float:
-        """When the next timer falls due, in seconds of the monotonic clock; infinite without one."""
+        """Returns when the next timer is due (s on the monotonic clock); infinite if there is none."""
         while self._heap and self._heap[0][2].callback is None:
             heapq.heappop(self._heap)
         return self._heap[0][0] if self._heap else math.inf
 
     def run_due(self) -> None:
-        """Runs the callbacks that have fallen due by now."""
+        """Runs the callbacks that are due by now."""
         now = self._monotonic()
         if now - self.next_due() > LATE_TIMER_TOLERANCE:
             self._stall_start, self._stall_end = self._last_run, now
@@ -75,9 +78,9 @@
                 self._run_callback(callback)
 
     def stall_duration(self) -> float:
-        """Milliseconds for which bytes that are read now may have waited because the process stalled.
+        """Returns the ms for which bytes read now may have waited because the process stalled.
 
-        0 if timers fire in time and the last stall is over for `STALL_MEMORY`.
+        It is 0 if timers run on time and the last stall ended more than `STALL_MEMORY` ago.
         """
         now = self._monotonic()
         start = self._stall_start
@@ -89,7 +92,7 @@
 
     @staticmethod
     def _run_callback(callback: Callable[[], None]) -> None:
-        """Runs one callback; an error in it is logged, so that the other timers still fire."""
+        """Runs one callback; logs an error in it, so that the other timers still run."""
         try:
             callback()
         except Exception as error:
--- a/edge_router/transport/client_session.py
+++ b/edge_router/transport/client_session.py
@@ -59,7 +59,7 @@
 
 
 class ClientSession:
-    """One client connection, from its acceptance until all its requests are answered or it breaks."""
+    """One client connection: its requests, its unsent responses and its timeouts."""
 
     def __init__(
         self, sock: Socket, handler: RequestHandler, clock: Callable[[], float], budget: MemoryBudget
@@ -71,7 +71,7 @@
         self._decoder = FastCgiDecoder(budget, clock)
         self._buffer = ReceiveBuffer(MAX_BUFFERED_BYTES)
         self._close_reason: CloseReason | str | None = None  # set once new requests are rejected
-        self._partial_since: float | None = clock()  # ms; start of the incomplete record
+        self._partial_since: float | None = clock()  # ms, start of the incomplete record, if any
         self.silent = True  # until the first byte is received
         self.time_unread = 0.0  # ms for which the current request may have waited to be read
         self._max_unread_time = 0.0  # ms, upper bound for all input of the last read
--- a/edge_router/transport/upstream_channel.py
+++ b/edge_router/transport/upstream_channel.py
@@ -174,9 +174,8 @@
         except BlockingIOError:
             pass
         except OSError as error:
-            if not is_local_shortage(
-                error
-            ):  # after a local shortage, writing continues once the socket is writable
+            # After a local shortage, writing continues once the socket is writable.
+            if not is_local_shortage(error):
                 self._close_reason = str(error)
                 self.close()
         if sent or command is None:
