--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Events of the change log: endpoints that drain, move, restart or leave, and a log that breaks."""
+"""Change log events (endpoints that drain, move, restart or are removed), and failures of the log."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def test_attempt_at_a_removed_endpoint_ends_and_is_retried_elsewhere(router: RouterHarness) -> None:
-    """No response can come from it: attempts end at once and its connections are closed."""
+    """Its attempts end at once and its connections are closed, as it can't respond any more."""
     client = router.connect()
     client.send_request()
     fetch = router.next_command()
@@ -34,9 +34,9 @@
     router.change_log.send_event(
         2, FULL_LIST, b"".join(router.endpoint_record(cache, UP) for cache in others)
     )
-    again = router.next_command()
-    assert again.cache in others
-    again.reply(body=b"elsewhere")
+    retry = router.next_command()
+    assert retry.cache in others
+    retry.reply(body=b"elsewhere")
     assert client.read_response().body == b"elsewhere"
     assert fetch.sock.recv(1) == b""
 
@@ -50,7 +50,7 @@
     assert {fetch.cache for fetch in request_objects(router, client)} == {staying}
 
 
-def test_draining_source_is_not_named_any_more(router: RouterHarness) -> None:
+def test_draining_parent_is_no_longer_a_source(router: RouterHarness) -> None:
     client = router.connect()
     assert request_objects(router, client, 1)[0].fields["from"] == "s-00000020"
     parent = encode_endpoint(0x20, state=DRAINING)
@@ -60,7 +60,7 @@
 
 
 def test_new_cache_at_a_reused_address_gets_new_connections(router: RouterHarness) -> None:
-    """An endpoint is identified by its id; the connections to the old one are not used for the new one."""
+    """Endpoints are identified by id, so the connections to the old cache are not used for the new one."""
     client, (old, _) = router.connect(), router.caches
     request_objects(router, client)
     assert old.listener.accepted
@@ -84,16 +84,18 @@
     moved.listener.close()
 
 
-@pytest.mark.parametrize(("since", "lost"), [(1000, True), (-60_000, False)])
+@pytest.mark.parametrize(("start_offset_ms", "lost"), [(1000, True), (-60_000, False)])
 def test_connections_older_than_the_start_of_their_endpoint_are_closed(
-    router: RouterHarness, since: int, lost: bool
+    router: RouterHarness, start_offset_ms: int, lost: bool
 ) -> None:
-    """A request to the old process is not waited for; one that its successor serves is kept."""
+    """They belong to the previous process, so their requests fail at once; newer ones are kept."""
     client = router.connect()
     client.send_request()
     fetch = router.next_command()
     router.change_log.send_event(
-        2, ENDPOINT_CHANGES, router.endpoint_record(fetch.cache, UP, int(time.time() * 1000) + since)
+        2,
+        ENDPOINT_CHANGES,
+        router.endpoint_record(fetch.cache, UP, int(time.time() * 1000) + start_offset_ms),
     )
     router.wait_until(lambda: len(router.log_lines("endpoint")) == 5, "the endpoint update")
     if lost:
@@ -119,35 +121,35 @@
     elif failure == "trickling":
         router.change_log.listener.accepted[-1].sendall(struct.pack(">IQB", 500, 3, ENDPOINT_CHANGES))
 
-        def given_up() -> bool:
+        def disconnected() -> bool:
             router.change_log.send_partial_frame_byte()
             return bool(router.log_lines("change-log-disconnected"))
 
-        router.wait_until(given_up, "the loss of the connection")
+        router.wait_until(disconnected, "the loss of the connection")
     assert router.change_log.resumed_from.get(timeout=TEST_TIMEOUT) == 2
     router.change_log.send_event(3, ENDPOINT_CHANGES, router.endpoint_record(router.caches[0], DRAINING))
     router.wait_until(lambda: len(router.log_lines("endpoint")) == 5, "the next event")
 
 
-def test_persistent_gap_is_closed_by_the_full_endpoint_list(router: RouterHarness) -> None:
-    """The events in the gap, such as a drain or a purge, must not stay unknown."""
+def test_persistent_gap_is_filled_by_the_full_endpoint_list(router: RouterHarness) -> None:
+    """The effect of the missing events, such as a drain or a purge, must still reach the router."""
     for _ in range(2):  # the log no longer has event 2
         assert router.change_log.resumed_from.get(timeout=TEST_TIMEOUT) == 1
         router.change_log.send_event(3, GROUP_PURGE, encode_group_purge(40, 1))
     assert router.change_log.resumed_from.get(timeout=TEST_TIMEOUT) == 0
-    nodes = b"".join(
+    endpoints = b"".join(
         router.endpoint_record(cache, state)
         for cache, state in zip(router.caches, (DRAINING, UP), strict=True)
     )
-    router.change_log.send_event(3, FULL_LIST, nodes)
+    router.change_log.send_event(3, FULL_LIST, endpoints)
     router.wait_until(lambda: len(router.log_lines("endpoint")) == 6, "the full endpoint list")
 
 
 @pytest.mark.parametrize("event", ["drain", "source", "purge"])
 def test_pending_attempt_is_checked_again_when_its_connection_is_established(event: str) -> None:
-    """Checked again because events may have overtaken the decision meanwhile."""
+    """Events received while it was pending may have invalidated the decision."""
     limits = {"connect_timeout": 28_000.0, "conn_idle": 600_000.0, "most_tries": 8, "cancel": True}
-    router = RouterHarness(limits=limits)  # time for the kernel to try again and again
+    router = RouterHarness(limits=limits)  # time for the kernel to retry several times
     unresponsive, client, (slow, other) = UnresponsiveAddress(), router.connect(), router.caches
     router.change_log.send_event(
         2,
@@ -170,7 +172,7 @@
         with contextlib.suppress(TimeoutError):
             sock = unresponsive.accept_connection(3.0)
             sock.settimeout(1.0)
-            assert sock.recv(1) == b""  # it may end the connection, but sends nothing
+            assert sock.recv(1) == b""  # the connection may end, but nothing is sent
     else:
         parent = encode_endpoint(0x20, state=DRAINING if event == "source" else UP)
         router.change_log.send_event(
@@ -185,11 +187,14 @@
 
 
 def test_unknown_events_and_endpoints_are_tolerated(router: RouterHarness) -> None:
-    client, odd = router.connect(), struct.pack(">IIHBBBHIQ", 0x77, 0, 0, 9, 200, 200, 65535, 0, 2**64 - 1)
+    client, unknown = (
+        router.connect(),
+        struct.pack(">IIHBBBHIQ", 0x77, 0, 0, 9, 200, 200, 65535, 0, 2**64 - 1),
+    )
     for number in range(2, 9):
-        router.change_log.send_event(number, ENDPOINT_CHANGES, odd + odd)
+        router.change_log.send_event(number, ENDPOINT_CHANGES, unknown + unknown)
     router.change_log.send_event(9, 77, b"?")
-    nodes = b"".join(router.endpoint_record(cache, UP) for cache in router.caches)
-    router.change_log.send_event(10, FULL_LIST, nodes + encode_endpoint(0x30, machine_type=2))
+    endpoints = b"".join(router.endpoint_record(cache, UP) for cache in router.caches)
+    router.change_log.send_event(10, FULL_LIST, endpoints + encode_endpoint(0x30, machine_type=2))
     router.wait_until(lambda: len(router.log_lines("endpoint")) == 4 + 14 + 3, "the full endpoint list")
     assert {fetch.fields["from"] for fetch in request_objects(router, client)} == {"s-00000030"}
--- a/tests/test_peer_clock.py
+++ b/tests/test_peer_clock.py
@@ -1,4 +1,4 @@
-"""The translation of Unix times of peers: what counts as evidence that clocks differ."""
+"""The translation of Unix times of peers: which evidence adjusts the offset of their clocks."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
         self.clock = Clock(lambda: self.monotonic, lambda: self.monotonic + self.wall_ahead)
         self.peers = PeerClock(self.clock)
 
-    def copy(self, age: float, peers_ahead: float = 0.0, round_trip: float = 0.02) -> None:
-        """Receives a copy that left the origin `age` seconds before its response, by the peers' clock."""
+    def receive_copy(self, age: float, peers_ahead: float = 0.0, round_trip: float = 0.02) -> None:
+        """Receives a copy that the origin served `age` seconds before the response (peers' clock)."""
         sent = self.clock.now()
         self.monotonic += round_trip
         received = self.clock.now()
@@ -30,7 +30,7 @@
         self.monotonic += 0.3
 
     def offset(self) -> float:
-        """Estimated seconds by which the clock of the peers is ahead of the local one."""
+        """Returns the estimated seconds by which the peers' clock is ahead of the local one."""
         return (self.clock.now() - self.peers.to_local(self.clock.now())) / 1000.0
 
 
@@ -40,37 +40,37 @@
 
 
 @pytest.fixture(autouse=True)
-def quiet() -> Iterator[None]:
+def discard_log() -> Iterator[None]:
     set_sink(lambda _event, _fields: None)
     yield
     set_sink(None)
 
 
 def test_copies_older_than_their_attempt_do_not_move_the_peer_clock(machine: Machine) -> None:
-    """A parent may have fetched them from the origin for another request earlier."""
+    """A parent may have fetched them from the origin earlier, for another request."""
     for _ in range(5):
-        machine.copy(1.4)
+        machine.receive_copy(1.4)
     assert machine.offset() == 0.0
     for age in (0.01, 1.4, 1.4, 1.4, 1.4, 0.01, 3.0, 1.4, 1.4, 1.4, 1.4, 1.4):
-        machine.copy(age)
+        machine.receive_copy(age)
         assert machine.offset() == 0.0
 
 
-@pytest.mark.parametrize("ahead", [-3600.0, -1.5, 30.0, 3600.0])
-def test_clock_offset_is_learned_from_the_freshest_copies(machine: Machine, ahead: float) -> None:
-    for place in range(40):
-        machine.copy((0.01, 1.4, 0.6)[place % 3], ahead)
-    assert machine.offset() == pytest.approx(ahead, abs=0.05)
+@pytest.mark.parametrize("peers_ahead", [-3600.0, -1.5, 30.0, 3600.0])
+def test_clock_offset_is_learned_from_the_freshest_copies(machine: Machine, peers_ahead: float) -> None:
+    for number in range(40):
+        machine.receive_copy((0.01, 1.4, 0.6)[number % 3], peers_ahead)
+    assert machine.offset() == pytest.approx(peers_ahead, abs=0.05)
 
 
-def test_corrected_wall_clock_is_accepted_with_the_first_copy(machine: Machine) -> None:
+def test_first_copy_that_agrees_with_the_corrected_wall_clock_sets_the_offset(machine: Machine) -> None:
     machine.wall_ahead = -3600.0
     assert machine.offset() == 0.0
-    machine.copy(0.01, -3600.0)
+    machine.receive_copy(0.01, -3600.0)
     assert machine.offset() == pytest.approx(-3600.0, abs=0.05)
 
 
-def test_events_from_the_future_show_an_offset_unless_implausible(machine: Machine) -> None:
+def test_event_from_the_future_adjusts_the_offset_unless_implausible(machine: Machine) -> None:
     machine.peers.observe_event(machine.clock.now() + 5000.0)
     assert machine.offset() == pytest.approx(5.0)
     machine.peers.observe_event(2.0**63)
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -1,4 +1,7 @@
-"""Race conditions on real sockets, forced by events, paused peers and connections held back."""
+"""Race conditions on real sockets.
+
+The tests force them by change log events, paused peers and connections that are not accepted.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +37,7 @@
 from edge_router.transport.client_session import MAX_CONSECUTIVE_REJECTIONS, ClientSession
 from edge_router.transport.close_reason import CloseReason
 
-TIME_WAIT = "06"
+TIME_WAIT = "06"  # a connection state in /proc/net/tcp
 
 
 def limits(**changes: Any) -> dict[str, Any]:
@@ -42,7 +45,7 @@
 
 
 def wait_for_decisions(client: FastCgiClient) -> None:
-    """Returns once earlier requests are decided: each round takes a turn of the router's event loop."""
+    """Returns once earlier requests are decided, as each round takes an iteration of the event loop."""
     for _ in range(5):
         assert client.request(request_id=9, path="/status/live").status == 200
 
@@ -60,43 +63,40 @@
     """A session handler that answers every request with 200."""
 
     def __init__(self) -> None:
-        self.asked = 0
-        self.came = trio.Event()
+        self.request_count = 0
+        self.request_received = trio.Event()
 
     def on_request(
         self,
         connection: ClientSession,
-        ident: int,
+        request_id: int,
         params: dict[str, str],
         body: bytes,
         invalid: InvalidRequest | None,
     ) -> bool:
         """Answers the request."""
-        self.asked += 1
-        self.came.set()
-        connection.send_response(ident, b"Status: 200 OK\r\n\r\n", b"")
+        self.request_count += 1
+        self.request_received.set()
+        connection.send_response(request_id, b"Status: 200 OK\r\n\r\n", b"")
         return True
 
-    def on_aborted(self, connection: ClientSession, ident: int) -> None:
+    def on_aborted(self, connection: ClientSession, request_id: int) -> None:
         """No attempt is in flight."""
 
-    def on_disconnected(self, connection: ClientSession, ident: int) -> None:
+    def on_disconnected(self, connection: ClientSession, request_id: int) -> None:
         """No attempt is in flight."""
 
 
 def connections_to(unresponsive: UnresponsiveAddress) -> int:
-    """The connections of the router to this address, without the two fillers."""
+    """Returns the number of the router's connections to this address, without the two fillers."""
     rows = [line.split() for line in Path("/proc/net/tcp").read_text().splitlines()[1:]]
     return sum(int(row[2].split(":")[1], 16) == unresponsive.port and row[3] != TIME_WAIT for row in rows) - 2
 
 
-# -- client disconnects --
-
-
 def test_pending_attempt_is_not_sent_after_client_disconnect(
     start_router: Callable[..., RouterHarness],
 ) -> None:
-    """Also where cancellation is not allowed: an attempt that was not sent needs none."""
+    """Holds also where cancellation is not allowed, as an attempt that was not sent needs none."""
     router = start_router(limits=limits(connect_timeout=28_000.0, conn_idle=600_000.0, cancel=False))
     unresponsive, (slow, other) = UnresponsiveAddress(), router.caches
     router.change_log.send_event(
@@ -112,16 +112,16 @@
     assert left.read_response()[:2] == (1, 0)
     stays.send_request(1, X_TXN="00000000000000bb", X_TTL_MS="30000")
     wait_for_decisions(stays)
-    # The second request goes by the connection that the first gave up.
+    # The second request uses the connection that the first one was waiting for.
     assert connections_to(unresponsive) == 1
-    asked = unresponsive.accept_connection().recv(1000)
-    assert b"00000000000000bb" in asked
-    assert b"00000000000000aa" not in asked
+    received = unresponsive.accept_connection().recv(1000)
+    assert b"00000000000000bb" in received
+    assert b"00000000000000aa" not in received
     unresponsive.close()
 
 
 @pytest.mark.parametrize("how", ["abort", "close"])
-def test_disconnect_of_a_client_being_closed_is_noticed(
+def test_disconnect_of_a_client_being_closed_aborts_its_attempt(
     start_router: Callable[..., RouterHarness], how: str
 ) -> None:
     router = start_router()
@@ -130,7 +130,7 @@
     fetch = router.next_command()
     for _ in range(MAX_CONSECUTIVE_REJECTIONS + 1):
         assert client.request(request_id=2, path="/svc/nothing").status == 404
-    client.send_request(3)  # behind that, nothing is taken any more
+    client.send_request(3)  # rejected, as the connection is being closed
     assert client.read_response()[:2] == (3, 0)
     if how == "abort":
         client.sock.sendall(fastcgi_record(ABORT_REQUEST, 1))
@@ -139,10 +139,10 @@
     assert router.next_command("abort").request_id == fetch.request_id
 
 
-def test_connection_with_an_unread_request_is_not_retired() -> None:
-    """The request arrives at the moment in which the idle connection is to be closed."""
+def test_idle_connection_with_an_unread_request_is_not_closed() -> None:
+    """The request arrives at the moment when the idle connection is to be closed."""
 
-    async def cross() -> None:
+    async def request_while_closing() -> None:
         ours, theirs = socket.socketpair()
         with ours, theirs:
             ours.setblocking(False)
@@ -158,31 +158,28 @@
                 connection.close_if_idle(CloseReason.EVICTED)
                 assert not connection.is_closing()
                 with trio.fail_after(TEST_TIMEOUT):
-                    await handler.came.wait()
+                    await handler.request_received.wait()
                 assert b"200 OK" in theirs.recv(1000)
                 connection.close_if_idle(CloseReason.EVICTED)
                 theirs.sendall(
                     FastCgiClient.encode_request(FastCgiClient.__new__(FastCgiClient), path="/status/live")
                 )
-                assert theirs.recv(1000) == b""  # the half-close, and no reset
+                assert theirs.recv(1000) == b""  # a half-close, not a reset
                 theirs.shutdown(socket.SHUT_WR)
-            assert handler.asked == 1  # what came behind the half-close was not taken
-
-    trio.run(cross)
+            assert handler.request_count == 1  # the one after the half-close was not processed
 
+    trio.run(request_while_closing)
 
-# -- discovery --
 
-
-def test_watch_reconnects_while_idle_clients_use_all_connections(
+def test_change_log_reconnects_while_idle_clients_use_all_connections(
     start_router: Callable[..., RouterHarness],
 ) -> None:
-    """The limits leave a reserve: client, cache and own connections fit in together."""
+    """The limits leave a reserve, so client, cache and change log connections fit in together."""
     router = start_router(sockets=64, descriptors=64)  # of which clients get 32
     busy = [router.connect() for _ in range(8)]
     for client in busy:
         client.send_request()
-    fetches = [router.next_command() for _ in busy]  # each on a connection of its own
+    fetches = [router.next_command() for _ in busy]  # each on a separate connection
     idle = [router.connect() for _ in range(60)]
     wait_for_decisions(busy[0])
     assert router.change_log.resumed_from.get(timeout=TEST_TIMEOUT) == 1
@@ -198,36 +195,33 @@
 
 
 def test_routers_reconnect_to_a_lost_change_log_with_jitter() -> None:
-    def lost_at(seed: int) -> list[float]:
-        """The times at which a router of that seed fails to connect."""
+    def failure_times(seed: int) -> list[float]:
+        """Returns the times at which a router with that seed fails to connect."""
         times: list[float] = []
 
         async def follow() -> None:
             with trio.CancelScope() as scope:
 
-                def note(event: str, fields: dict[str, object]) -> None:
+                def record_time(event: str, fields: dict[str, object]) -> None:
                     times.append(trio.current_time())
                     if len(times) == 6:
                         scope.cancel()
 
-                set_sink(note)
+                set_sink(record_time)
                 await ChangeLogWatcher(*free_address(), 0, seed).run(RequestRouter.__new__(RequestRouter))
 
         trio.run(follow, clock=trio.testing.MockClock(autojump_threshold=0))
         set_sink(None)
         return times
 
-    first, second = lost_at(1), lost_at(2)
+    first, second = failure_times(1), failure_times(2)
     for times in (first, second):
         gaps = [later - earlier for earlier, later in itertools.pairwise(times)]
-        for gap, most in zip(gaps, (0.1, 0.2, 0.4, 0.4, 0.4), strict=True):
-            assert 0.5 * most <= gap <= most + 0.001
+        for gap, max_gap in zip(gaps, (0.1, 0.2, 0.4, 0.4, 0.4), strict=True):
+            assert 0.5 * max_gap <= gap <= max_gap + 0.001
     assert all(abs(one - other) > 1e-6 for one, other in zip(first[1:], second[1:], strict=True))
 
 
-# -- shutdown --
-
-
 def test_partially_received_request_is_answered_after_the_grace_period(
     start_router: Callable[..., RouterHarness],
 ) -> None:
@@ -261,7 +255,7 @@
 def test_unaccepted_connections_are_answered_at_shutdown(
     start_router: Callable[..., RouterHarness],
 ) -> None:
-    """The connection limit is reached until the last moment, so no waiting client was accepted before."""
+    """The connection limit is reached until shutdown, so no waiting client was accepted before."""
     router = start_router(sockets=16)  # of which clients get 8
     held = [router.connect() for _ in range(8)]
     for client in held:
@@ -293,23 +287,24 @@
             stderr=output,
             env={**os.environ, "RELAY_CONFIG": str(path)},
         )
-    with path.open("w") as pipe:  # opens once the router reads it, and so has begun to start
+    with path.open("w") as pipe:  # blocks until the router opens it during startup
         whole.rename(path)
         router.process.send_signal(number)
         pipe.write(json.dumps(router.config))
-    word = "configuration-reloaded" if number == signal.SIGHUP else "shutdown-complete"
+    expected_event = "configuration-reloaded" if number == signal.SIGHUP else "shutdown-complete"
     router.wait_until(
-        lambda: router.log_lines(word) or router.process.poll() is not None, "what the signal asks for"
+        lambda: router.log_lines(expected_event) or router.process.poll() is not None,
+        "the effect of the signal",
     )
     assert router.log_lines("ready")
-    assert router.log_lines(word)
+    assert router.log_lines(expected_event)
 
 
 def test_stopping_router_does_not_report_itself_live(start_router: Callable[..., RouterHarness]) -> None:
     router = start_router()
     client = router.connect()
     whole = client.encode_request(path="/status/live")
-    client.sock.sendall(whole[:40])  # so that the connection is not at rest
+    client.sock.sendall(whole[:40])  # so that the connection is not idle
     router.process.send_signal(signal.SIGTERM)
     router.wait_until(lambda: router.log_lines("shutdown-started"), "the shutdown")
     client.sock.sendall(whole[40:])
@@ -336,17 +331,17 @@
     router.wait_until(lambda: len(router.log_lines("endpoint")) == 5, "the change")
     first.reply("500")
     wait_for_decisions(probe)
-    assert connections_to(unresponsive) == 1  # the repeat was ordered within its window
+    assert connections_to(unresponsive) == 1  # the retry started within its window
     while time.monotonic() < sent + window / 1000.0:
         time.sleep(0.05)
-    came: list[bytes] = []
-    opening = threading.Thread(
-        target=lambda: came.append(unresponsive.accept_connection().recv(1000)), daemon=True
+    received: list[bytes] = []
+    accepting = threading.Thread(
+        target=lambda: received.append(unresponsive.accept_connection().recv(1000)), daemon=True
     )
-    opening.start()  # the kernel may forget a connection on which nothing is sent: then none is accepted
+    accepting.start()  # no connection is accepted if the kernel drops the one on which nothing was sent
     assert client.read_response().status == 503
     router.process.send_signal(signal.SIGTERM)
     assert router.process.wait(TEST_TIMEOUT) == 0
     unresponsive.close()
-    opening.join(TEST_TIMEOUT)
-    assert came in ([], [b""])  # not a byte of the repeat went out
+    accepting.join(TEST_TIMEOUT)
+    assert received in ([], [b""])  # not a byte of the retry was sent
--- a/tests/test_system_call_failures.py
+++ b/tests/test_system_call_failures.py
@@ -1,4 +1,4 @@
-"""Faults of the operating system: clock steps, failing system calls, a log that nobody reads."""
+"""Faults of the operating system: clock steps, failing system calls and a log that is not read."""
 
 from __future__ import annotations
 
@@ -34,16 +34,13 @@
 from edge_router.fault_injection.system_call_faults import SystemCall, SystemCallFault
 
 
-def fetch_status(router: RouterHarness, client: FastCgiClient, ident: int = 1, **what: Any) -> int:
-    """The status of a request whose first attempt a cache answers with a copy filled from the origin."""
-    client.send_request(ident, **what)
+def fetch_status(router: RouterHarness, client: FastCgiClient, request_id: int = 1, **what: Any) -> int:
+    """Sends a request, answers its first attempt with a copy filled from the origin, returns its status."""
+    client.send_request(request_id, **what)
     router.next_command().reply(body=b"good", tell="via_origin", waited=3)
     return client.read_response().status
 
 
-# -- the wall clock --
-
-
 @pytest.mark.parametrize("step", [-3600.0, -1.5, 30.0, 3600.0])
 def test_wall_clock_step_changes_no_response(
     start_router: Callable[..., RouterHarness], tmp_path: Path, step: float
@@ -56,12 +53,12 @@
     client = router.connect()
     assert fetch_status(router, client) == 200
     flag.touch()
-    for ident, path in enumerate(("/svc/image", "/svc/page", "/svc/page"), start=2):
-        assert fetch_status(router, client, ident, path=path) == 200
+    for request_id, path in enumerate(("/svc/image", "/svc/page", "/svc/page"), start=2):
+        assert fetch_status(router, client, request_id, path=path) == 200
     client.send_request(9, X_TTL_MS="1000")
     limit = int(router.next_command().fields["limit"])
     assert 500 < limit <= 1000
-    assert client.read_response().status == 503  # its time passes
+    assert client.read_response().status == 503  # at its deadline
 
 
 @pytest.mark.parametrize("step", [-3600.0, 30.0, 3600.0])
@@ -86,7 +83,7 @@
 
 
 def test_wrong_wall_clock_at_startup_is_detected(start_router: Callable[..., RouterHarness]) -> None:
-    """Copies that just left the origin show the error of the local clock."""
+    """Copies that the origin has just served show the error of the local clock."""
     router = start_router(faults=[SystemCallFault(SystemCall.CLOCK, step=3600.0, end=math.inf)])
     client = router.connect()
 
@@ -97,17 +94,15 @@
 
     threading.Thread(target=serve, daemon=True).start()
     statuses = [
-        client.request(request_id=ident, path="/svc/page", X_TTL_MS="2000").status for ident in range(1, 8)
+        client.request(request_id=request_id, path="/svc/page", X_TTL_MS="2000").status
+        for request_id in range(1, 8)
     ]
     assert statuses[2:] == [200] * 5
     assert len(router.log_lines("peer-clock-adjusted")) == 1
 
 
-# -- transient failures --
-
-
-def check_serving_after(router: RouterHarness, until: float) -> None:
-    """Checks that the router survives, and serves on old and new connections once the fault is over."""
+def check_serving_after_fault(router: RouterHarness, until: float) -> None:
+    """Checks that the router still runs, and serves old and new connections, after the fault has ended."""
     client = router.connect()
     assert fetch_status(router, client) == 200
     time.sleep(max(0.0, until - time.monotonic()))
@@ -122,7 +117,7 @@
 ) -> None:
     """The fault lasts until after a statistics line was due."""
     now = time.monotonic()
-    check_serving_after(
+    check_serving_after_fault(
         start_router(faults=[SystemCallFault(SystemCall.OPEN, error, now + 2.0, now + 7.5)]), now + 7.7
     )
 
@@ -142,10 +137,9 @@
     start_router: Callable[..., RouterHarness], call: SystemCall, error: str
 ) -> None:
     now = time.monotonic()
-    check_serving_after(start_router(faults=[SystemCallFault(call, error, now + 1.5, now + 2.0)]), now + 2.2)
-
-
-# -- the log --
+    check_serving_after_fault(
+        start_router(faults=[SystemCallFault(call, error, now + 1.5, now + 2.0)]), now + 2.2
+    )
 
 
 def test_unread_log_does_not_block_the_router(start_router: Callable[..., RouterHarness]) -> None:
@@ -162,7 +156,7 @@
         router.wait_until(router.is_live, "the router is ready")
         client = router.connect()
         client.sock.settimeout(TEST_TIMEOUT)
-        for _ in range(2000):  # as many lines as no pipe holds
+        for _ in range(2000):  # more lines than a pipe can hold
             process.send_signal(signal.SIGHUP)
             assert client.request(path="/status/live").status == 200
         assert fetch_status(router, client) == 200
@@ -190,9 +184,6 @@
     assert "sockets=99" in router.log_lines("configuration-reloaded")[0]
 
 
-# -- shutdown and startup --
-
-
 def test_aborted_connection_does_not_affect_others_at_shutdown(
     start_router: Callable[..., RouterHarness], tmp_path: Path
 ) -> None:
@@ -200,7 +191,7 @@
     router = start_router(
         sockets=16, faults=[SystemCallFault(SystemCall.ACCEPT, "ECONNABORTED", flag=str(flag), chance=0.7)]
     )
-    accepted = [router.connect() for _ in range(8)]  # all places
+    accepted = [router.connect() for _ in range(8)]  # as many clients as the limit allows
     for client in accepted:
         client.send_request(path="/svc/confirm", X_TTL_MS="60000")
     for _ in accepted:
@@ -216,7 +207,7 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGHUP, signal.SIGINT])
-def test_signal_during_shutdown_does_not_cut_it_short(
+def test_signal_during_shutdown_does_not_shorten_it(
     start_router: Callable[..., RouterHarness], number: signal.Signals
 ) -> None:
     router = start_router()
@@ -251,9 +242,6 @@
     assert router.log_lines("start-delayed")
 
 
-# -- upstream connections --
-
-
 @pytest.mark.parametrize(
     ("call", "error"),
     [
@@ -264,16 +252,16 @@
         (SystemCall.CONNECT, "ENOBUFS"),
     ],
 )
-def test_local_resource_shortage_is_waited_out_without_ejecting_a_cache(
+def test_local_resource_shortage_delays_requests_without_ejecting_a_cache(
     start_router: Callable[..., RouterHarness], tmp_path: Path, call: SystemCall, error: str
 ) -> None:
-    flag = tmp_path / "lacking"
+    flag = tmp_path / "shortage"
     router = start_router(faults=[SystemCallFault(call, error, flag=str(flag))])
     client = router.connect()
     assert client.request(path="/status/live").status == 200
     flag.touch()
     client.send_request()
-    time.sleep(0.15)  # less than a connection may take
+    time.sleep(0.15)  # shorter than the connect timeout
     flag.unlink()
     router.next_command().reply(body=b"good")
     assert client.read_response().body == b"good"
@@ -284,12 +272,12 @@
 def test_buffer_shortage_does_not_close_connections(
     start_router: Callable[..., RouterHarness], tmp_path: Path, call: SystemCall
 ) -> None:
-    flag = tmp_path / "lacking"
+    flag = tmp_path / "shortage"
     router = start_router(faults=[SystemCallFault(call, "ENOBUFS", flag=str(flag), chance=0.5)])
     client = router.connect()
     assert fetch_status(router, client) == 200
     flag.touch()
-    assert [fetch_status(router, client, ident) for ident in range(2, 8)] == [200] * 6
+    assert [fetch_status(router, client, request_id) for request_id in range(2, 8)] == [200] * 6
     assert not router.log_lines("upstream-connection-lost")
     assert not router.log_lines("client-connection-error")
 
@@ -299,12 +287,12 @@
     assert router.change_log.resumed_from.get(timeout=TEST_TIMEOUT) == 1
     router.change_log.send_event(1, HEARTBEAT)
     records = [router.endpoint_record(cache, UP) for cache in router.caches]
-    records += [encode_endpoint(0x1000 + place, weight=9000) for place in range(3000)]
+    records += [encode_endpoint(0x1000 + number, weight=9000) for number in range(3000)]
     payload = b"".join(records)
     data = struct.pack(">IQB", 9 + len(payload), 2, FULL_LIST) + payload
     sock = router.change_log.listener.accepted[-1]
-    for place in range(10):
-        sock.sendall(data[place * len(data) // 10 : (place + 1) * len(data) // 10])
+    for part in range(10):
+        sock.sendall(data[part * len(data) // 10 : (part + 1) * len(data) // 10])
         time.sleep(0.4)
     router.wait_until(lambda: len(router.log_lines("endpoint")) == 4 + 3002, "the full endpoint list")
     assert router.change_log.resumed_from.empty()
--- a/tests/test_unread_input.py
+++ b/tests/test_unread_input.py
@@ -1,6 +1,7 @@
 """Input that arrived while the router could not read: requests that aged, clients that disconnected.
 
-The router is stopped with SIGSTOP to force the race: everything sent meanwhile is there when it continues.
+The tests stop the router with SIGSTOP, so that all input sent meanwhile is unread when it continues. Without
+a correction, such requests would get too long a limit, and attempts would start for clients that have left.
 """
 
 from __future__ import annotations
@@ -26,24 +27,24 @@
 
 @contextlib.contextmanager
 def paused(router: RouterHarness) -> Iterator[None]:
-    """Stops the router process, which reads nothing meanwhile."""
+    """Stops the router process within the `with` block, so that it reads nothing."""
     router.process.send_signal(signal.SIGSTOP)
     yield
     router.process.send_signal(signal.SIGCONT)
 
 
 def fetches(router: RouterHarness, count: int) -> list[ReceivedCommand]:
-    """The next fetch commands, up to `count`, until none arrives for a second."""
-    found: list[ReceivedCommand] = []
+    """Returns the next `count` fetch commands, or fewer if none arrives for a second."""
+    received: list[ReceivedCommand] = []
     with contextlib.suppress(queue.Empty):
-        while len(found) < count:
+        while len(received) < count:
             if (fetch := router.commands.get(timeout=1.0)).command == "fetch":
-                found.append(fetch)
-    return found
+                received.append(fetch)
+    return received
 
 
 def disconnect(client: FastCgiClient, how: str) -> None:
-    """The client abandons its request 1 by an abort, a close or a reset."""
+    """Abandons request 1 of the client by an abort, a close or a reset."""
     if how == "abort":
         client.sock.sendall(fastcgi_record(ABORT_REQUEST, 1))
     elif how == "close":
@@ -78,9 +79,9 @@
     client, sent = router.connect(), {}
     assert client.request(path="/status/live").status == 200
     with paused(router):
-        for ident in (1, 2, 3):
-            client.send_request(ident, X_TXN=f"{ident:016x}", X_TTL_MS="3000")
-            sent[f"{ident:016x}"] = time.monotonic()
+        for request_id in (1, 2, 3):
+            client.send_request(request_id, X_TXN=f"{request_id:016x}", X_TTL_MS="3000")
+            sent[f"{request_id:016x}"] = time.monotonic()
             time.sleep(0.3)
     for fetch in fetches(router, 3):
         time_left = 3000 - (time.monotonic() - sent[fetch.request_id]) * 1000
@@ -93,7 +94,7 @@
 ) -> None:
     """Hedged requests become due, and the clients disconnect, while the router is stopped.
 
-    Which of the two it handles first is random, so there are several rounds.
+    The router handles the two in a random order, so the test has several rounds.
     """
     classes = [{**entry, "on_time": 400.0} for entry in SETTINGS["classes"]]
     router = start_router(classes=classes)
@@ -113,7 +114,7 @@
 def test_half_closed_client_gets_its_response(
     start_router: Callable[..., RouterHarness],
 ) -> None:
-    """It looks like one that disconnected, so no new attempt starts; but it gets a final response."""
+    """No new attempt starts, as the client may have disconnected, but it still gets a final response."""
     router = start_router()
     client = router.connect()
     client.send_request()
@@ -125,20 +126,20 @@
 def test_oldest_request_of_an_unaccepted_connection_determines_the_deduction(
     start_router: Callable[..., RouterHarness], tmp_path: Path
 ) -> None:
-    """Accepting fails for a while, as without descriptors; meanwhile requests arrive on one connection."""
+    """Requests arrive on one connection while accept(2) fails with ENOBUFS."""
     flag = tmp_path / "no-buffers"
     router = start_router(faults=[SystemCallFault(SystemCall.ACCEPT, "ENOBUFS", flag=str(flag))])
     flag.touch()
     time.sleep(0.1)
     client, sent = router.connect(), {}
-    for ident in (1, 2, 3):
-        client.send_request(ident, X_TXN=f"{ident:016x}", X_TTL_MS="3000")
-        sent[f"{ident:016x}"] = time.monotonic()
+    for request_id in (1, 2, 3):
+        client.send_request(request_id, X_TXN=f"{request_id:016x}", X_TTL_MS="3000")
+        sent[f"{request_id:016x}"] = time.monotonic()
         time.sleep(0.2)
     flag.unlink()
-    found = fetches(router, 3)
-    assert len(found) == 3
-    for fetch in found:
+    received = fetches(router, 3)
+    assert len(received) == 3
+    for fetch in received:
         time_left = 3000 - (time.monotonic() - sent[fetch.request_id]) * 1000
         assert int(fetch.fields["limit"]) <= time_left + MAX_LIMIT_EXCESS
 
