--- a/edge_router/model_checker/channels.py
+++ b/edge_router/model_checker/channels.py
@@ -202,7 +202,7 @@
                 channel._write_blocked,
                 bytes(channel._partial_write),
                 len(channel._queue),
-                channel.partial_since or 0.0,
+                channel.partial_received_at or 0.0,
                 len(channel.buffer),
                 tuple((command.state, command.begun) for command in self.commands),
             ),
--- a/edge_router/model_checker/fingerprint/transport.py
+++ b/edge_router/model_checker/fingerprint/transport.py
@@ -29,7 +29,8 @@
         },
     ),
     UpstreamChannel: Fields(
-        "_queue _partial_write _write_blocked buffer decoder local_shortage connected closed partial_since",
+        "_queue _partial_write _write_blocked buffer decoder local_shortage connected closed "
+        "partial_received_at",
         {
             "_owner": WIRING,
             "_clock": WIRING,
@@ -75,7 +76,7 @@
         channel.local_shortage,
         channel.connected,
         channel.closed,
-        frame.time(channel.partial_since or 0.0),
+        frame.time(channel.partial_received_at or 0.0),
     )
 
 
--- a/edge_router/protocol/fastcgi.py
+++ b/edge_router/protocol/fastcgi.py
@@ -186,7 +186,7 @@
 
 
 class FastCgiDecoder:
-    """Decodes the records of one connection to requests, in whatever pieces their bytes arrive.
+    """Decodes the records of one connection to requests, regardless of how their bytes are split into reads.
 
     `clock` returns milliseconds; the bytes of partial requests are reserved in `budget`.
     """
@@ -196,7 +196,7 @@
         self._clock = clock
         self._partial_requests: dict[int, _PartialRequest] = {}
         self.open_ids: set[int] = set()  # ids in use, until their END_REQUEST is written
-        self.consecutive_rejections = 0  # requests rejected in a row; the session counts its own too
+        self.consecutive_rejections = 0  # requests; the session counts rejections by the handler too
         self.keep_connection = True  # whether the client asked to keep it open after the responses
 
     def complete_count(self) -> int:
--- a/edge_router/protocol/resp.py
+++ b/edge_router/protocol/resp.py
@@ -29,7 +29,7 @@
 
 
 class RespDecoder:
-    """Decodes the arrays of one connection, in whatever pieces their bytes arrive."""
+    """Decodes the arrays of one connection, regardless of how their bytes are split into reads."""
 
     def __init__(self) -> None:
         self._items: list[bytes] = []
--- a/edge_router/proxy/connection_pool.py
+++ b/edge_router/proxy/connection_pool.py
@@ -150,7 +150,7 @@
         for connections in list(self._connections.values()):
             for connection in list(connections):
                 idle = now - connection.last_used_at > max_idle
-                partial_since = connection.channel.partial_since
+                partial_since = connection.channel.partial_received_at
                 stuck = partial_since is not None and now - partial_since > MAX_PARTIAL_TIME
                 if stuck or (not connection.attempts and (idle or connection.suspect)):
                     connection.channel.close()
--- a/edge_router/runtime/event_log.py
+++ b/edge_router/runtime/event_log.py
@@ -16,7 +16,7 @@
 NO_DESCRIPTOR = -1  # every write to it fails
 
 _sink: Sink | None = None
-_line_counts: dict[str, tuple[int, int]] = {}  # by event: a second, and the number of lines in it
+_line_counts: dict[str, tuple[int, int]] = {}  # by event: the latest second, and the lines requested in it
 
 
 class LineWriter:
--- a/edge_router/runtime/peer_clock.py
+++ b/edge_router/runtime/peer_clock.py
@@ -5,10 +5,10 @@
 
 - The change log reports only what has happened, so a reported moment in the future shows that the local clock
   is behind.
-- The origin serves a copy for one of our attempts between the attempt's first byte and its response. A copy
-  served in the future shows that the local clock is behind. A copy served before its attempt need not show
-  anything, as a parent may have joined an earlier fill. But a few in a row that are older than any fill, or
-  many in a row, show that the local clock is ahead; the freshest copies give the offset.
+- The origin serves a copy for one of the router's attempts between the attempt's first byte and its
+  response. A copy served in the future shows that the local clock is behind. A copy served before its attempt
+  need not show anything, as a parent may have joined an earlier fill. But a few in a row that are older than
+  any fill, or many in a row, show that the local clock is ahead; the freshest copies give the offset.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from edge_router.runtime.clock import Clock
 from edge_router.runtime.event_log import log
 
-TOLERANCE = 50.0  # ms by which moments of two machines may differ; time limits have the same slack
+TOLERANCE = 50.0  # ms by which moments of two machines may differ; the operators' slack for time limits
 MAX_FILL_DURATION = 10_000.0  # ms by which a copy may predate its attempt although all clocks are right
 MIN_CLEAR_EVIDENCE = 3  # consecutive copies that suffice if no fill can explain their age
 MIN_WEAK_EVIDENCE = 24  # consecutive copies that suffice even if fills could explain their age,
--- a/edge_router/runtime/system_errors.py
+++ b/edge_router/runtime/system_errors.py
@@ -1,4 +1,4 @@
-"""Classifies the system call errors that the local machine causes, as opposed to a peer."""
+"""Classifies system call errors that are caused by the local machine rather than by a peer."""
 
 from __future__ import annotations
 
--- a/edge_router/transport/upstream_channel.py
+++ b/edge_router/transport/upstream_channel.py
@@ -72,7 +72,7 @@
         self.local_shortage = False  # this host lacked a descriptor, memory, a port or a route for it
         self.connected = False  # it was established, or reset by the peer while connecting
         self.closed = False
-        self.partial_since: float | None = None  # ms; arrival of the last bytes of an incomplete response
+        self.partial_received_at: float | None = None  # ms, last input of an incomplete response
 
     # Called by the owner.
 
@@ -107,7 +107,7 @@
         """Processes new bytes in the buffer; raises RespError if they are malformed."""
         for array in self.decoder.decode_arrays(self.buffer):
             self._owner.on_message(self, array)
-        self.partial_since = self._clock() if self.decoder.is_partial() or len(self.buffer) else None
+        self.partial_received_at = self._clock() if self.decoder.is_partial() or len(self.buffer) else None
 
     def on_writable(self) -> None:
         """Continues writing after the socket buffer was full."""
