--- a/edge_router/model_checker/fingerprint/transport.py
+++ b/edge_router/model_checker/fingerprint/transport.py
@@ -29,12 +29,13 @@
         },
     ),
     UpstreamChannel: Fields(
-        "_queue _partial_write _write_blocked buffer decoder local_shortage connected closed partial_since",
+        "_queue _partial_write _write_blocked buffer decoder local_shortage connected closed "
+        "partial_received_at",
         {
             "_owner": WIRING,
             "_clock": WIRING,
             "_sock": WIRING,
-            "_pumping": "false between steps",
+            "_flushing": "false between steps",
             "_close_reason": REPORTED,
         },
     ),
@@ -55,7 +56,8 @@
         },
     ),
     fastcgi.FastCgiDecoder: Fields(
-        "_partial_requests open_ids rejected_in_a_row keep_connection", {"_budget": WIRING, "_clock": WIRING}
+        "_partial_requests open_ids consecutive_rejections keep_connection",
+        {"_budget": WIRING, "_clock": WIRING},
     ),
 }
 
@@ -74,7 +76,7 @@
         channel.local_shortage,
         channel.connected,
         channel.closed,
-        frame.time(channel.partial_since or 0.0),
+        frame.time(channel.partial_received_at or 0.0),
     )
 
 
@@ -84,7 +86,7 @@
     return (
         tuple(sorted(decoder.open_ids)),
         tuple(sorted(decoder._partial_requests)),
-        decoder.rejected_in_a_row,
+        decoder.consecutive_rejections,
         decoder.keep_connection,
         len(session._buffer),
         str(session._close_reason or ""),
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -16,7 +16,7 @@
 
 from edge_router.config.settings_reader import settings_from_json
 from edge_router.decision.messages import Endpoint, EndpointState, UpdateKind
-from edge_router.discovery.events import EndpointAddress, EndpointsChanged
+from edge_router.discovery.events import EndpointsChanged, ListedEndpoint
 from edge_router.proxy.messages import FinalResponse, ResponseStatus
 from edge_router.proxy.request_router import RequestRouter
 from edge_router.runtime.clock import Clock
@@ -60,7 +60,7 @@
             EndpointsChanged(
                 True,
                 tuple(
-                    EndpointAddress(
+                    ListedEndpoint(
                         Endpoint(endpoint_id, role, 0.0, EndpointState.READY, 0, zone, 9000.0), "127.0.0.1", 1
                     )
                     for endpoint_id, role, zone in endpoints
