--- a/edge_router/model_checker/__init__.py
+++ b/edge_router/model_checker/__init__.py
@@ -1,7 +1,9 @@
 """The model checker: plays every order of events, within stated bounds, on the router's own code.
 
-`scope` holds the bounds, `model` and `peers` are the router's modelled surroundings, `properties` what must
-hold. `fingerprint` and `visited` tell states apart, `copying` restores one, `search` and `walk` choose the
-order, `trace` and `chart` report what was found. `mutations` plants faults to test the checker itself,
-`codecs` and `channels` are two smaller machines, and `reach` reports which lines were executed.
+`scope` holds the bounds. `model` and `peers` simulate the router's clients, caches and change log, and
+`properties` states what must hold. `fingerprint` and `visited` recognize states that were visited before,
+`copying` restores a state, `search` and `walk` choose the order of steps, and `trace` and `chart` report a
+violation. `mutations` plants faults to test the checker itself, and `mutation_run` runs whole explorations.
+`codecs` and `channels` check the decoders and a single connection, and `reach` reports which lines were
+executed.
 """
--- a/edge_router/model_checker/channels.py
+++ b/edge_router/model_checker/channels.py
@@ -1,7 +1,7 @@
-"""The smaller machine of one connection: connecting, established, partially written, ended.
+"""A small machine that explores the life of one connection: connecting, established, partly written, ended.
 
-One real `Channel` with a socket that accepts as many bytes as a step allows. Commands have three bytes, and
-one of them withdraws when it is its turn to be written.
+It consists of one real `UpstreamChannel` and a socket that accepts as many bytes as a step allows. Commands
+have three bytes, and one of them is withdrawn when it is its turn to be written.
 """
 
 from __future__ import annotations
@@ -13,34 +13,34 @@
 from edge_router.protocol.resp import RespError, encode
 from edge_router.transport.upstream_channel import UpstreamChannel
 
-WITHDRAWN = "-no"  # the command that is not written
+WITHDRAWN = "-no"  # the command that is withdrawn instead of written
 COMMANDS = ("aaa", "bbb", WITHDRAWN)
 ANSWER = encode(b"ok")
 
 
 class LimitedSocket:
-    """Accepts `room` bytes, then none."""
+    """A socket that accepts `writable_bytes` bytes, then none."""
 
     def __init__(self) -> None:
-        self.room = 99
-        self.dead = False
+        self.writable_bytes = 99
+        self.reset = False
         self.ended = False
-        self.taken = b""
+        self.written = b""
 
     def send(self, data: bytes | memoryview, /) -> int:
-        """Accepts as many bytes as there is room for."""
-        if self.dead:
+        """Accepts up to `writable_bytes` bytes."""
+        if self.reset:
             raise ConnectionResetError("reset")
-        count = min(self.room, len(data))
+        count = min(self.writable_bytes, len(data))
         if not count:
             raise BlockingIOError
-        self.room -= count
-        self.taken += bytes(data[:count])
+        self.writable_bytes -= count
+        self.written += bytes(data[:count])
         return count
 
     def recv(self, count: int, flags: int, /) -> bytes:
-        """Peeks at the socket: only its end can be seen."""
-        if self.dead:
+        """Peeks at the socket; only its end can be seen, since answers are delivered by steps."""
+        if self.reset:
             raise ConnectionResetError("reset")
         if self.ended:
             return b""
@@ -48,7 +48,7 @@
 
 
 class RecordedCommand:
-    """A command that records what becomes of it."""
+    """A command that records whether it was written."""
 
     def __init__(self, machine: ChannelMachine, text: str) -> None:
         self.machine, self.text = machine, text
@@ -56,33 +56,33 @@
         self.state = "waiting"
 
     def encode(self) -> bytes | None:
-        """Its bytes; None if it withdraws."""
+        """The bytes of the command; None if it is withdrawn."""
         if self.machine.ends:
-            self.machine.record_violation("told-once", f"{self.text} begins on a connection that is over")
+            self.machine.record_violation("told-once", f"{self.text} begins on a connection that has ended")
         self.begun += 1
         self.state = "dropped" if self.text == WITHDRAWN else "begun"
         return None if self.text == WITHDRAWN else self.text.encode()
 
     def on_not_written(self) -> None:
-        """The channel reports that none of it was written."""
-        if self.text.encode() in self.machine.sock.taken:
+        """The channel reports that none of the command was written."""
+        if self.text.encode() in self.machine.sock.written:
             self.machine.record_violation(
-                "order-kept", f"{self.text} was written, and is reported as unwritten"
+                "order-kept", f"{self.text} was written, but is reported as not written"
             )
         self.state = "waiting"
 
 
 class ChannelMachine:
-    """A channel, explored by the same search as the router."""
+    """One channel, explored by the same search as the router."""
 
     def __init__(self) -> None:
         self.violations: list[Violation] = []
         self.sock = LimitedSocket()
         self.ends: list[str] = []
-        self.arrivals = 0
+        self.received_answers = 0
         self.channel = UpstreamChannel(self, self._clock)
         self.commands: list[RecordedCommand] = []
-        self.half = False
+        self.answer_is_partial = False
         self.finished = False
 
     @staticmethod
@@ -90,49 +90,53 @@
         return 1.0
 
     def record_violation(self, property_name: str, detail: str) -> None:
-        """Records a violation."""
+        """Records a violation of the property."""
         self.violations.append(Violation(property_name, detail))
 
     def on_message(self, connection: UpstreamChannel, array: list[bytes]) -> None:
         """The channel has decoded an array."""
-        self.arrivals += 1
+        self.received_answers += 1
 
     def on_channel_closed(self, connection: UpstreamChannel, reason: str) -> None:
         """The channel reports its end."""
         self.ends.append(reason)
         if len(self.ends) > 1:
-            self.record_violation("told-once", f"notified {len(self.ends)} times of the end")
+            self.record_violation("told-once", f"the owner was notified of the end {len(self.ends)} times")
 
     def enabled(self) -> list[str]:
         """All steps that may be taken now."""
         if self.finished:
             return []
-        steps = [f"room {count}" for count in (0, 1, 99) if count != self.sock.room]
+        steps = [f"room {count}" for count in (0, 1, 99) if count != self.sock.writable_bytes]
         if len(self.commands) < len(COMMANDS):
             steps.append("put")
         steps.append("close" if not self.channel.closed else "ended")
         if not self.channel.connected:
             return [*steps, "up", "refused", "reset-at-connect"] if not self.channel.closed else steps
-        if not self.sock.dead:
+        if not self.sock.reset:
             steps.append("die")
-        if not self.sock.ended and not self.sock.dead:
+        if not self.sock.ended and not self.sock.reset:
             steps.append("end")
-            if self.half:
+            if self.answer_is_partial:
                 steps.append("rest")
-            elif self.arrivals < 2:
+            elif self.received_answers < 2:
                 steps += ["answer", "half"]
-        if (self.sock.ended or self.sock.dead) and not self.channel.closed:
+        if (self.sock.ended or self.sock.reset) and not self.channel.closed:
             steps.append("ended")
-        if self.channel._write_blocked and (self.sock.room or self.sock.dead) and not self.channel.closed:
+        if (
+            self.channel._write_blocked
+            and (self.sock.writable_bytes or self.sock.reset)
+            and not self.channel.closed
+        ):
             steps.append("writable")
         return steps
 
     def do(self, step: str) -> None:
-        """Takes a step, and checks the order of what was written."""
+        """Takes a step, and checks that commands are written in order."""
         word, _, rest = step.partition(" ")
         self.finished = word in ("refused", "reset-at-connect", "ended")
         if word == "room":
-            self.sock.room = int(rest)
+            self.sock.writable_bytes = int(rest)
         else:
             ACTIONS[word](self)
         self._check()
@@ -144,34 +148,36 @@
         self.channel.send(command)
 
     def fail_connecting(self, error: OSError) -> None:
-        """The connection can't be opened."""
+        """The connection can't be established."""
         self.channel.on_connect_failed(error)
         self.channel.on_closed()
 
     def receive(self, data: bytes, *, partial: bool) -> None:
-        """Bytes of an answer come in; `partial`: more are to come."""
-        self.half = partial
+        """Receives bytes of an answer; `partial` says that more will follow."""
+        self.answer_is_partial = partial
         self.channel.buffer.append(data)
         try:
             self.channel.on_received()
         except RespError:
-            self.record_violation("clean-error", "a legal answer can't be read")
+            self.record_violation("clean-error", "a legal answer can't be decoded")
 
     def _check(self) -> None:
         expected = b"".join(command.text.encode() for command in self.commands if command.text != WITHDRAWN)
-        if not expected.startswith(self.sock.taken):
-            self.record_violation("order-kept", f"written {self.sock.taken!r} of {expected!r}")
+        if not expected.startswith(self.sock.written):
+            self.record_violation("order-kept", f"written {self.sock.written!r} of {expected!r}")
         for command in self.commands:
-            written = command.text.encode()[:1] in self.sock.taken
+            written = command.text.encode()[:1] in self.sock.written
             if command.state == "waiting" and written:
-                self.record_violation("order-kept", f"{command.text} waits, and was written")
+                self.record_violation(
+                    "order-kept", f"{command.text} was written, but still counts as waiting"
+                )
 
     def touches(self, step: str) -> frozenset[str] | None:
-        """None: any step may touch everything here."""
+        """None: each step may read or write the whole state."""
         return None
 
     def default(self) -> str | None:
-        """Writing continues, then the channel is closed."""
+        """The step that continues writing, or else closes the channel."""
         names = self.enabled()
         return next((step for step in ("writable", "close", "ended") if step in names), None)
 
@@ -190,13 +196,13 @@
         channel, sock = self.channel, self.sock
         return marshal.dumps(
             (
-                sock.room,
-                sock.dead,
+                sock.writable_bytes,
+                sock.reset,
                 sock.ended,
-                sock.taken,
+                sock.written,
                 len(self.ends),
-                self.arrivals,
-                self.half,
+                self.received_answers,
+                self.answer_is_partial,
                 channel.connected,
                 channel.closed,
                 channel._write_blocked,
@@ -210,13 +216,13 @@
         )
 
 
-# The steps that take no number, by their names in traces.
+# What each step does, by the name of the step; `room`, which has a number, is handled in `do`.
 ACTIONS: dict[str, Callable[[ChannelMachine], None]] = {
     "put": ChannelMachine.put,
     "up": lambda machine: machine.channel.on_connected(machine.sock),
     "refused": lambda machine: machine.fail_connecting(ConnectionRefusedError()),
     "reset-at-connect": lambda machine: machine.fail_connecting(ConnectionResetError()),
-    "die": lambda machine: setattr(machine.sock, "dead", True),
+    "die": lambda machine: setattr(machine.sock, "reset", True),
     "end": lambda machine: setattr(machine.sock, "ended", True),
     "answer": lambda machine: machine.receive(ANSWER, partial=False),
     "half": lambda machine: machine.receive(ANSWER[:3], partial=True),
