--- a/edge_router/model_checker/codecs.py
+++ b/edge_router/model_checker/codecs.py
@@ -1,9 +1,9 @@
-"""The smaller machine of the codecs: every split of a stream into reads must decode to the same.
+"""Checks the decoders of RESP and FastCGI: each split of a stream into reads must decode to the same.
 
-Streams of up to `MOST_SPLIT_IN_ALL_WAYS` bytes are split in all ways (2 ** (n - 1) of them), longer ones at
-every one and every two places, and byte by byte. Illegal streams are the legal ones with each byte changed or
-truncated at each place, and some made by hand: every split must give the same outcome, and the only error
-that may be raised is the codec's own.
+Streams of up to `ALL_SPLITS_MAX_SIZE` bytes are split in all 2 ** (n - 1) ways. Longer streams are split at
+each single offset, at each pair of offsets, and byte by byte. Illegal streams are legal ones that are
+truncated at each offset or have one byte changed, and some that are written by hand. Every split must give
+the same outcome, and a decoder may raise only its own errors.
 """
 
 from __future__ import annotations
@@ -20,20 +20,20 @@
 from edge_router.protocol.fastcgi import RecordType
 from edge_router.runtime.memory_budget import MemoryBudget
 
-MOST_SPLIT_IN_ALL_WAYS = 12  # bytes
-MOST_SPLIT_EVERYWHERE = 200  # bytes of an illegal stream that is split at each place
-MOST_SHORT = 40  # bytes of a legal stream that is split at two places even in a short run
-MOST_WHY, MOST_HEX, MOST_SPLIT = 300, 200, 80  # characters in a report
-MOST_UNREAD = 1 << 20
+ALL_SPLITS_MAX_SIZE = 12  # bytes
+SINGLE_SPLITS_MAX_SIZE = 200  # bytes of a handwritten illegal stream that is split at each offset
+SHORT_RUN_PAIRS_MAX_SIZE = 40  # bytes of a legal stream that a short run splits at each pair of offsets
+MAX_DETAIL_LENGTH, MAX_HEX_LENGTH, MAX_SPLIT_LENGTH = 300, 200, 80  # characters in a report
+MAX_UNREAD = 1 << 20  # bytes that the receive buffer may hold
 CHANGED_BYTES = (0x00, 0x01, 0x0A, 0x0D, 0x24, 0x2A, 0x30, 0x39, 0x7F, 0xFF)
 
 Outcome = tuple[tuple[str, ...], str]  # what was decoded, and the error that ended it
-Split = tuple[int, ...]  # the places at which a stream is split
+Split = tuple[int, ...]  # the offsets at which a stream is split
 Decode = Callable[[Iterator[bytes]], Outcome]
 
 
 @dataclass
-class Checked:
+class CheckResult:
     """The counts and violations of a check."""
 
     streams: int = 0
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Stream:
-    """Bytes to be decoded, and what they are."""
+    """Bytes to be decoded, and a name for reports."""
 
     name: str
     data: bytes
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Codec:
-    """A decoder, and streams for it."""
+    """A decoder, and the streams to check it with."""
 
     name: str
     legal: list[bytes]
@@ -60,34 +60,37 @@
 
 
 def splits_of(size: int, short: bool) -> Iterator[Split]:
-    """Ways to split so many bytes: all, or at one and (unless `short`) at two places."""
-    if size <= MOST_SPLIT_IN_ALL_WAYS:
+    """Yields ways to split `size` bytes: all of them if the stream is short, else those at one or two offsets.
+
+    Longer streams are also left whole and split into single bytes; `short` leaves out the pairs of offsets.
+    """
+    if size <= ALL_SPLITS_MAX_SIZE:
         for count in range(size):
             yield from itertools.combinations(range(1, size), count)
         return
     yield ()
     yield tuple(range(1, size))
-    yield from ((at,) for at in range(1, size))
+    yield from ((offset,) for offset in range(1, size))
     if not short:
         yield from itertools.combinations(range(1, size), 2)
 
 
 def pieces(data: bytes, split: Split) -> Iterator[bytes]:
-    """The bytes between the places of the split."""
+    """Yields the bytes between the offsets of the split."""
     for begin, end in itertools.pairwise((0, *split, len(data))):
         yield data[begin:end]
 
 
 def decode_resp(parts: Iterator[bytes]) -> Outcome:
     """Decodes RESP from these reads."""
-    buffer, decoder, out = ReceiveBuffer(MOST_UNREAD), resp.RespDecoder(), []
+    buffer, decoder, out = ReceiveBuffer(MAX_UNREAD), resp.RespDecoder(), []
     try:
         for part in parts:
             buffer.append(part)
             for array in decoder.decode_arrays(buffer):
                 out.append(repr(array))
             if len(buffer) > max(resp.MAX_LINE_SIZE, (decoder._bulk_size or 0) + 2) + len(part):
-                return (*out,), "held too much"
+                return (*out,), "buffered too much"
     except (resp.RespError, BufferFullError) as error:
         return (*out,), type(error).__name__
     return (*out,), ""
@@ -97,7 +100,7 @@
     """Decodes FastCGI from these reads; all of the memory budget must be released in the end."""
     budget = MemoryBudget()
     budget.limit = 4e5
-    buffer, decoder, out = ReceiveBuffer(MOST_UNREAD), fastcgi.FastCgiDecoder(budget, lambda: 1.0), []
+    buffer, decoder, out = ReceiveBuffer(MAX_UNREAD), fastcgi.FastCgiDecoder(budget, lambda: 1.0), []
     error = ""
     try:
         for part in parts:
@@ -108,14 +111,14 @@
                 partial.size() > fastcgi.MAX_PARAMS_SIZE + fastcgi.MAX_BODY_SIZE
                 for partial in decoder._partial_requests.values()
             ):
-                error = "held too much"
+                error = "buffered too much"
                 break
     except (fastcgi.FastCgiError, BufferFullError) as problem:
         error = type(problem).__name__
     decoder.close()
     if budget._used:
-        error += f" and {budget._used} bytes kept"
-    return (*out, f"open {sorted(decoder.open_ids)} away {decoder.rejected_in_a_row}"), error
+        error += f" and {budget._used} bytes not released"
+    return (*out, f"open ids {sorted(decoder.open_ids)}, rejected {decoder.rejected_in_a_row}"), error
 
 
 def _begin(ident: int, role: int = 1, flags: int = 1) -> bytes:
@@ -127,7 +130,7 @@
 
 
 def legal_resp() -> list[bytes]:
-    """Short legal streams of RESP."""
+    """Returns short legal streams of RESP."""
     return [
         resp.encode(b""),
         resp.encode(b"a"),
@@ -139,7 +142,7 @@
 
 
 def illegal_resp() -> list[bytes]:
-    """Streams that break RESP, made by hand."""
+    """Returns handwritten streams that violate RESP."""
     return [
         b"*0\r\n",
         b"*17\r\n",
@@ -155,7 +158,7 @@
 
 
 def legal_fastcgi() -> list[bytes]:
-    """Short legal streams of FastCGI."""
+    """Returns short legal streams of FastCGI."""
     pair = b"\x01\x01ab"
     request = (
         _begin(1)
@@ -179,7 +182,7 @@
 
 
 def illegal_fastcgi() -> list[bytes]:
-    """Streams that break FastCGI, made by hand."""
+    """Returns handwritten streams that violate FastCGI."""
     body = b"".join(fastcgi.record(RecordType.STDIN, 1, b"z" * 60_000) for _ in range(3))
     return [
         fastcgi.record(RecordType.BEGIN_REQUEST, 1, b"\0\1"),
@@ -196,69 +199,69 @@
 
 
 def changed(data: bytes) -> Iterator[bytes]:
-    """The stream truncated at each place, and with each byte changed."""
-    for at in range(len(data)):
-        yield data[:at]
+    """Yields the stream truncated at each offset, and with each byte replaced by each of `CHANGED_BYTES`."""
+    for offset in range(len(data)):
+        yield data[:offset]
         for value in CHANGED_BYTES:
-            if data[at] != value:
-                yield data[:at] + bytes((value,)) + data[at + 1 :]
+            if data[offset] != value:
+                yield data[:offset] + bytes((value,)) + data[offset + 1 :]
 
 
 def _violation(outcome: Outcome, expected: Outcome, legal: bool) -> Violation | None:
-    """What an outcome violates; `expected` is that of the first split of the same stream."""
-    if "kept" in outcome[1] or "too much" in outcome[1]:
+    """The violation in an outcome; `expected` is the outcome of the same stream when it is not split."""
+    if "not released" in outcome[1] or "too much" in outcome[1]:
         return Violation("bounded", outcome[1])
     if legal and outcome[1]:
         return Violation("legal-read", outcome[1])
     if outcome != expected:
-        return Violation("same-split", f"{outcome!r}, uncut {expected!r}"[:MOST_WHY])
+        return Violation("same-split", f"{outcome!r}, without a split {expected!r}"[:MAX_DETAIL_LENGTH])
     return None
 
 
 def _check_stream(
-    stream: Stream, play: Decode, splits: Iterable[Split], checked: Checked, legal: bool = False
+    stream: Stream, decode: Decode, splits: Iterable[Split], checked: CheckResult, legal: bool = False
 ) -> None:
-    """Decodes a stream in each split, up to the first violation."""
+    """Decodes a stream in each split, until the first violation."""
     checked.streams += 1
     expected: Outcome | None = None
     for split in splits:
         checked.splits += 1
         violation: Violation | None
         try:
-            outcome = play(pieces(stream.data, split))
+            outcome = decode(pieces(stream.data, split))
         except Exception as error:
             violation = Violation("clean-error", f"{type(error).__name__}: {error}")
         else:
             expected = expected or outcome
             violation = _violation(outcome, expected, legal)
         if violation is not None:
-            steps = (stream.name, stream.data.hex()[:MOST_HEX], str(split)[:MOST_SPLIT])
+            steps = (stream.name, stream.data.hex()[:MAX_HEX_LENGTH], str(split)[:MAX_SPLIT_LENGTH])
             checked.found.append(Found(steps, violation))
             return
 
 
 def _few_splits(size: int) -> tuple[Split, ...]:
-    """No split, byte by byte, and in the middle."""
+    """No split, a split into single bytes, and a split in the middle."""
     half = size // 2
     return ((), tuple(range(1, size)), (half,)[:half])
 
 
-def _check_codec(codec: Codec, short: bool, checked: Checked) -> None:
+def _check_codec(codec: Codec, short: bool, checked: CheckResult) -> None:
     for data in codec.legal:
-        splits = splits_of(len(data), short and len(data) > MOST_SHORT)
+        splits = splits_of(len(data), short and len(data) > SHORT_RUN_PAIRS_MAX_SIZE)
         _check_stream(Stream(codec.name, data), codec.decode, splits, checked, legal=True)
         for other in changed(data):
             stream = Stream(f"{codec.name}, changed", other)
             _check_stream(stream, codec.decode, _few_splits(len(other)), checked)
     for data in codec.illegal:
-        every: Iterable[Split] = ((), tuple(range(1, len(data))))
-        splits = splits_of(len(data), True) if len(data) <= MOST_SPLIT_EVERYWHERE else iter(every)
+        few_splits: Iterable[Split] = ((), tuple(range(1, len(data))))
+        splits = splits_of(len(data), True) if len(data) <= SINGLE_SPLITS_MAX_SIZE else iter(few_splits)
         _check_stream(Stream(f"{codec.name}, illegal", data), codec.decode, splits, checked)
 
 
-def check(short: bool = False) -> Checked:
-    """Checks all streams of both codecs; `short` leaves out the splits of long ones at two places."""
-    checked = Checked()
+def check(short: bool = False) -> CheckResult:
+    """Checks all streams of both codecs; `short` leaves out splits of long streams at pairs of offsets."""
+    checked = CheckResult()
     for codec in (
         Codec("resp", legal_resp(), illegal_resp(), decode_resp),
         Codec("fastcgi", legal_fastcgi(), illegal_fastcgi(), decode_fastcgi),
