--- a/edge_router/model_checker/codecs.py
+++ b/edge_router/model_checker/codecs.py
@@ -60,7 +60,7 @@
 
 
 def splits_of(size: int, short: bool) -> Iterator[Split]:
-    """Yields ways to split `size` bytes: all of them if the stream is short, else those at one or two offsets.
+    """Yields ways to split `size` bytes: all of them if there are few, else those at one or two offsets.
 
     Longer streams are also left whole and split into single bytes; `short` leaves out the pairs of offsets.
     """
--- a/edge_router/model_checker/copying.py
+++ b/edge_router/model_checker/copying.py
@@ -1,6 +1,6 @@
-"""Three ways to restore a state: replaying its steps, `copy.deepcopy`, and a pickle of the whole machine.
+"""Three ways to restore a state: replaying its steps, `copy.deepcopy`, and pickling the whole machine.
 
-Settings never change and are shared by all copies.
+Settings never change, so all copies share them; pickled copies also share the scope and the request parser.
 """
 
 from __future__ import annotations
@@ -20,19 +20,19 @@
 from edge_router.proxy.request_parser import RequestParser
 
 _shared: list[object] = []
-_places: dict[int, int] = {}
+_shared_indexes: dict[int, int] = {}
 
 
-def _share(thing: object) -> tuple[Callable[[int], object], tuple[int]]:
-    place = _places.get(id(thing))
-    if place is None:
-        place = _places[id(thing)] = len(_shared)
-        _shared.append(thing)
-    return _shared_at, (place,)
+def _share(value: object) -> tuple[Callable[[int], object], tuple[int]]:
+    index = _shared_indexes.get(id(value))
+    if index is None:
+        index = _shared_indexes[id(value)] = len(_shared)
+        _shared.append(value)
+    return _shared_at, (index,)
 
 
-def _shared_at(place: int) -> object:
-    return _shared[place]
+def _shared_at(index: int) -> object:
+    return _shared[index]
 
 
 def _cached(method: Callable[..., Any], size: int) -> Any:
@@ -53,23 +53,23 @@
 }
 
 
-_numbered: dict[tuple[str, str], int] = {}
+_class_numbers: dict[tuple[str, str], int] = {}
 
 
 def _number_classes(names: Iterable[tuple[str, str]]) -> None:
-    """Registers a number for each class, by which pickles within this process name it.
+    """Registers a number for each class, by which pickles in this process refer to it.
 
-    Looking classes up by name takes a quarter of the time of a copy. The numbers are valid in this process
-    only: they stay registered for reading, and are registered for writing only while a state is captured,
-    since pickles for other processes must be readable there.
+    Looking up classes by name would take a quarter of the time of a copy. Other processes do not know the
+    numbers. They therefore stay registered for unpickling, but are registered for pickling only while a state
+    is captured, so that other processes can read all other pickles.
     """
     for name in names:
-        if name not in _numbered:
-            _numbered[name] = 0x1000 + len(_numbered)
-            copyreg._inverted_registry[_numbered[name]] = name  # type: ignore[attr-defined]
+        if name not in _class_numbers:
+            _class_numbers[name] = 0x1000 + len(_class_numbers)
+            copyreg._inverted_registry[_class_numbers[name]] = name  # type: ignore[attr-defined]
 
 
-def _named_in(data: bytes) -> Iterable[tuple[str, str]]:
+def _classes_named_in(data: bytes) -> Iterable[tuple[str, str]]:
     texts: list[str] = []
     memo: dict[int, str] = {}
     found = []
@@ -86,17 +86,17 @@
 
 
 class StateCopier(Protocol):
-    """Captures a state, and restores it as often as needed."""
+    """Captures a state, and restores it any number of times."""
 
     def capture(self, machine: Machine, steps: tuple[str, ...]) -> None:
-        """Captures the state of the machine, to which these steps have led."""
+        """Captures the state of the machine, which these steps have led to."""
 
     def restore(self) -> Machine:
-        """A machine of its own in the captured state."""
+        """A new machine in the captured state, which shares nothing that changes with the captured one."""
 
 
 class Replay:
-    """Replays all steps from the start."""
+    """Restores a state by replaying all steps from the start."""
 
     def __init__(self, start: Callable[[], Machine]) -> None:
         self._start = start
@@ -112,7 +112,7 @@
 
 
 class DeepCopy:
-    """Copies object by object."""
+    """Restores a state by copying it object by object."""
 
     def __init__(self) -> None:
         self._copied: Machine | None = None
@@ -123,27 +123,27 @@
 
     @staticmethod
     def _copy(machine: Machine) -> Machine:
-        before = copy._deepcopy_dispatch  # type: ignore[attr-defined]
+        dispatch = copy._deepcopy_dispatch  # type: ignore[attr-defined]
         extra = {
             Settings: lambda x, memo: x,
             ClassSettings: lambda x, memo: x,
             memoryview: lambda x, memo: memoryview(bytes(x)),
         }
-        before.update(extra)
+        dispatch.update(extra)
         try:
             return copy.deepcopy(machine)
         finally:
             for cls in extra:
-                before.pop(cls, None)
+                dispatch.pop(cls, None)
 
     def restore(self) -> Machine:
-        """A copy of the copy."""
+        """A new copy of the stored copy."""
         assert self._copied is not None
         return self._copy(self._copied)
 
 
 class Pickle:
-    """Pickles the whole machine once, and unpickles it as often as needed."""
+    """Pickles the whole machine once, and unpickles it for each copy."""
 
     def __init__(self) -> None:
         self._data = b""
@@ -153,19 +153,19 @@
         out = io.BytesIO()
         pickler = pickle.Pickler(out, pickle.HIGHEST_PROTOCOL)
         pickler.dispatch_table = _REDUCERS
-        copyreg._extension_registry.update(_numbered)  # type: ignore[attr-defined]
+        copyreg._extension_registry.update(_class_numbers)  # type: ignore[attr-defined]
         try:
             pickler.dump(machine)
         finally:
-            for name in _numbered:
+            for name in _class_numbers:
                 del copyreg._extension_registry[name]  # type: ignore[attr-defined]
         self._data = out.getvalue()
-        if not _numbered:  # the first pickle shows which classes need numbers
-            _number_classes(_named_in(self._data))
+        if not _class_numbers:  # the first pickle shows which classes need numbers; pickle again with them
+            _number_classes(_classes_named_in(self._data))
             self.capture(machine, steps)
 
     def restore(self) -> Machine:
-        """A machine from the pickle."""
+        """A machine unpickled from the stored bytes."""
         machine: Machine = pickle.loads(self._data)
         return machine
 
@@ -174,7 +174,7 @@
 
 
 def run(start: Callable[[], Machine], steps: tuple[str, ...]) -> Machine:
-    """The machine after these steps."""
+    """A new machine after these steps."""
     machine = start()
     for step in steps:
         machine.do(step)
--- a/edge_router/model_checker/machine.py
+++ b/edge_router/model_checker/machine.py
@@ -6,14 +6,14 @@
 
 
 class Violation(NamedTuple):
-    """A property that does not hold, and the evidence."""
+    """A property that does not hold, and a description of what was observed."""
 
     property_name: str
     detail: str
 
 
 class Machine(Protocol):
-    """A system whose steps are chosen from outside. Steps are names; the same names give the same run."""
+    """A deterministic system whose steps are chosen by the search; each step is identified by its name."""
 
     @property
     def violations(self) -> list[Violation]:
@@ -23,21 +23,21 @@
         """The steps that may be taken now, always in the same order for the same state."""
 
     def do(self, step: str) -> None:
-        """Takes an enabled step; adds to `violations` what it breaks."""
+        """Takes an enabled step, and adds the properties that it violates to `violations`."""
 
     def encode(self) -> bytes:
-        """The whole state in a canonical form: equal for states from which the same can happen."""
+        """The whole state in a canonical form, which is equal for states with the same possible futures."""
 
     def touches(self, step: str) -> frozenset[str] | None:
-        """The parts of the state that the step reads or writes; None: perhaps all of them."""
+        """The parts of the state that the step reads or writes; None if it may be any of them."""
 
     def default(self) -> str | None:
-        """The step that is taken if no peer does anything; None when all is quiet."""
+        """The step that follows if no peer does anything; None if nothing more will happen."""
 
     def settle(self) -> None:
-        """Takes default steps until all is quiet, and checks what must hold then."""
+        """Takes default steps until none is left, and checks the properties of a quiet state."""
 
 
 def independent(one: frozenset[str] | None, other: frozenset[str] | None) -> bool:
-    """Whether two steps commute: they touch no part in common, so either order gives the same state."""
+    """Whether two steps commute: they touch no common part, so either order gives the same state."""
     return one is not None and other is not None and not one & other
--- a/edge_router/model_checker/results.py
+++ b/edge_router/model_checker/results.py
@@ -1,4 +1,4 @@
-"""What a search finds: traces of steps, violations and counts."""
+"""The results of a search: violations with the steps that lead to them, and counts."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 Steps = tuple[str, ...]
 MachineFactory = Callable[[], Machine]
-SETTLE = "settle"  # the last step of a trace whose violation shows only once the machine has settled
+SETTLE = "settle"  # the last step of a trace whose violation appears only when the machine has settled
 
 
 class Found(NamedTuple):
@@ -22,15 +22,15 @@
 
 @dataclass
 class Result:
-    """The counts and violations of one or several searches."""
+    """The counts and violations of one or more searches."""
 
     states: int = 0
     transitions: int = 0
-    depth: int = 0
+    depth: int = 0  # the greatest number of steps
     settled: int = 0  # states of the last depth that were settled
     seconds: float = 0.0
-    bytes_visited: int = 0
-    complete: bool = True
+    bytes_visited: int = 0  # memory of the set of visited states
+    complete: bool = True  # false if the search ran out of time
     found: list[Found] = field(default_factory=list)
 
     def add(self, other: Result) -> None:
