--- a/edge_router/model_checker/expander.py
+++ b/edge_router/model_checker/expander.py
@@ -1,4 +1,4 @@
-"""Expands states: takes each step of a state once, in this process or in a pool of workers."""
+"""Expands states: takes each enabled step of a state once, in this process or in a pool of workers."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 from edge_router.model_checker.machine import Machine, Violation, independent
 from edge_router.model_checker.results import SETTLE, MachineFactory, Steps, replay
 
-CHUNK = 24  # frontier entries that a worker is given at a time
-GC_THRESHOLDS = (20_000, 20, 50)
+CHUNK_SIZE = 24  # frontier entries that a worker receives at a time
+GC_THRESHOLDS = (20_000, 20, 50)  # of the garbage collector, in each process that expands entries
 NO_STEPS: frozenset[str] = frozenset()
 
 
 class Entry(NamedTuple):
-    """A state to be expanded: the steps that lead to it, and which of its own steps to take."""
+    """A state to be expanded: the steps that lead to it, and which steps to take from it."""
 
     steps: Steps
-    todo: Steps | None = None  # None: all that are enabled
-    sleep: frozenset[str] = NO_STEPS  # steps that need not be taken, since another order covers them
+    todo: Steps | None = None  # steps to take; None: all that are enabled
+    sleep: frozenset[str] = NO_STEPS  # the sleep set: steps that another order of steps covers
 
 
 class Successor(NamedTuple):
-    """The state that a step led to."""
+    """The state that a step leads to."""
 
     step: str
     fingerprint: int
@@ -34,7 +34,7 @@
 
 
 class Expansion(NamedTuple):
-    """The successors of an entry, and the violations found on the way."""
+    """The successors of an entry, and the violations found by its steps."""
 
     successors: list[Successor]
     violations: list[tuple[Steps, Violation]]
@@ -49,7 +49,7 @@
 
 
 class Expander:
-    """Expands entries; each process has one."""
+    """Expands entries of one search; each process has one."""
 
     def __init__(self, factory: MachineFactory, depth: int, reduce: bool, copying: str) -> None:
         self._factory, self._depth, self._reduce = factory, depth, reduce
@@ -57,7 +57,7 @@
         self._settled: set[int] = set()  # states of the last depth that this process has settled
 
     def expand(self, entry: Entry) -> Expansion:
-        """Takes the steps that the entry asks for; at the last depth, settles what they lead to."""
+        """Takes the steps that the entry lists; at the last depth, settles the states that they lead to."""
         machine = replay(self._factory, entry.steps)
         enabled = machine.enabled()
         if not enabled:
@@ -71,8 +71,8 @@
         successors: list[Successor] = []
         violations: list[tuple[Steps, Violation]] = []
         done, settled = set(entry.sleep), 0
-        for place, step in enumerate(todo):
-            after = self._copier.restore() if place < len(todo) - 1 else machine
+        for index, step in enumerate(todo):
+            after = self._copier.restore() if index < len(todo) - 1 else machine
             after.do(step)
             steps = (*entry.steps, step)
             if after.violations:
@@ -90,7 +90,7 @@
         return Expansion(successors, violations, len(todo), settled)
 
     def _must_settle(self, steps: Steps, state: int) -> bool:
-        """Whether a state is of the last depth, and was not settled by this process before."""
+        """Whether a state is of the last depth and has not been settled by this process."""
         if len(steps) < self._depth or state in self._settled:
             return False
         self._settled.add(state)
@@ -102,9 +102,9 @@
 
 
 class Setup(NamedTuple):
-    """What a worker has to know of a search. `make(*args)` gives the factory of the machine."""
+    """What a worker needs to know of a search; `make_factory(*args)` returns the factory of the machine."""
 
-    make: Callable[..., MachineFactory]
+    make_factory: Callable[..., MachineFactory]
     args: tuple[Any, ...]
     depth: int
     reduce: bool = True
@@ -115,24 +115,24 @@
 
 
 def _expand_all(job: tuple[Setup, list[Entry]]) -> list[Expansion]:
-    """Expands some entries; the expander is kept for as long as the search is the same."""
+    """Expands some entries, with the expander of the previous call if the search is the same."""
     global _current
     setup, entries = job
     if _current is None or _current[0] != setup:
         gc.set_threshold(*GC_THRESHOLDS)
-        _current = setup, Expander(setup.make(*setup.args), setup.depth, setup.reduce, setup.copying)
+        _current = setup, Expander(setup.make_factory(*setup.args), setup.depth, setup.reduce, setup.copying)
     return [_current[1].expand(entry) for entry in entries]
 
 
 class WorkerPool:
-    """The processes that expand entries; one process means this one. Ends the processes on exit."""
+    """The processes that expand entries, which end on exit; a pool of one process is the current process."""
 
     def __init__(self, processes: int = 1) -> None:
         self.processes = processes
         self._pool = multiprocessing.get_context("spawn").Pool(processes) if processes > 1 else None
 
     def expand(self, setup: Setup, entries: list[Entry]) -> Iterator[list[Expansion]]:
-        """The expansions of the entries, in their order, by chunks."""
+        """Yields the expansions of the entries in their order, chunk by chunk."""
         jobs = ((setup, chunk) for chunk in _chunks(entries))
         return self._pool.imap(_expand_all, jobs) if self._pool else map(_expand_all, jobs)
 
@@ -146,5 +146,5 @@
 
 
 def _chunks(entries: list[Entry]) -> Iterator[list[Entry]]:
-    for start in range(0, len(entries), CHUNK):
-        yield entries[start : start + CHUNK]
+    for start in range(0, len(entries), CHUNK_SIZE):
+        yield entries[start : start + CHUNK_SIZE]
--- a/edge_router/model_checker/mutation_run.py
+++ b/edge_router/model_checker/mutation_run.py
@@ -67,7 +67,7 @@
 
     for scope in scopes:
         path = save.with_name(f"{save.name}.{scope.name}") if save else None
-        options = Options(most_seconds=MOST_SECONDS_PER_SCOPE, save=path, save_every=save_every)
+        options = Options(max_seconds=MOST_SECONDS_PER_SCOPE, save=path, save_every=save_every)
         done(scope.name, explore(scope, workers, options))
     done(CHANNEL, explore_channel(workers))
     done(CODECS, explore_codecs())
--- a/edge_router/model_checker/search.py
+++ b/edge_router/model_checker/search.py
@@ -1,11 +1,11 @@
-"""The order in which states are explored: level by level on all cores, or depth first on one.
-
-Breadth first, a level is split into chunks, and the expansions are merged in the order in which one process
-would have found them: states, transitions and traces are the same for any number of processes. An entry of
-the frontier is the list of steps that leads there; a worker replays them once, and copies the state for each
-step that follows. Sleep sets (Godefroid, "Partial-Order Methods", 1996, chapter 5) save transitions that
-would only close a diamond; they leave out no state, which the tests check by searching with and without
-them.
+"""The order in which states are explored: breadth first with several processes, or depth first with one.
+
+The breadth-first search splits each level into chunks and merges their expansions in the order in which one
+process would have found them, so that states, transitions and traces are the same for any number of
+processes. An entry of the frontier is the list of steps that leads to a state. A worker replays them once,
+and copies the state for each further step. Sleep sets (Godefroid, "Partial-Order Methods", 1996, chapter 5)
+avoid taking independent steps in several orders where each order leads to the same state. They leave out no
+state; the tests check this by searching with and without them.
 """
 
 from __future__ import annotations
@@ -23,19 +23,19 @@
 from edge_router.model_checker.results import Found, MachineFactory, Result
 from edge_router.model_checker.visited import FingerprintSet, PlainSet
 
-Progress = Callable[[Result, int], None]  # called after each level with the length of the next
+Progress = Callable[[Result, int], None]  # called after each level with the number of entries of the next
 
 
 @dataclass(frozen=True)
 class Options:
-    """How to search."""
-
-    reduce: bool = True  # by sleep sets
-    copying: str = "pickle"  # pickle, deepcopy or replay
-    plain_set: bool = False  # visited states in a Python set
-    stop_at_first: bool = False
-    most_seconds: float = float("inf")
-    save: Path | None = None
+    """The options of a breadth-first search."""
+
+    reduce: bool = True  # leave out transitions by sleep sets
+    copying: str = "pickle"  # how states are restored: pickle, deepcopy or replay
+    plain_set: bool = False  # store the visited states in a Python set
+    stop_at_first: bool = False  # end after the first level with a violation
+    max_seconds: float = float("inf")
+    save: Path | None = None  # the file to save the frontier in, and to continue from
     save_every: float = 20.0  # seconds between two saved frontiers
 
 
@@ -46,13 +46,13 @@
         self._workers, self._setup, self._options, self._key = workers, setup, options, key
         self._began = self._saved_at = time.monotonic()
         self._frontier = self._first_frontier()
-        self._spent_before = self._frontier.result.seconds  # by the runs that this one continues
+        self._seconds_before = self._frontier.result.seconds  # of the runs that this one continues
 
     def _first_frontier(self) -> Frontier:
         save = self._options.save
         if save is not None and save.exists():
             return Frontier.load(save, self._key)
-        factory = self._setup.make(*self._setup.args)
+        factory = self._setup.make_factory(*self._setup.args)
         frontier = Frontier(PlainSet() if self._options.plain_set else FingerprintSet())
         frontier.visited.add(np.array([fingerprint(factory().encode())], np.uint64))
         frontier.entries = [Entry(())]
@@ -60,7 +60,7 @@
         return frontier
 
     def run(self, progress: Progress | None) -> Result:
-        """Explores level by level, until nothing is left or the options end it."""
+        """Explores level by level, until no entry is left or the options end the search."""
         frontier, result = self._frontier, self._frontier.result
         while frontier.entries:
             level = frontier.entries
@@ -80,21 +80,21 @@
             if self._options.stop_at_first and result.found:
                 break
         self._count_seconds()
-        if result.complete:  # the frontier is empty then: a later run has nothing left to do here
+        if result.complete:  # the saved frontier is then empty, and a later run has nothing left to explore
             self._save()
         return result
 
     def _expand(self, level: list[Entry]) -> list[Expansion]:
-        """The expansions of a level; fewer than its entries if the time is over."""
+        """The expansions of a level; fewer than its entries if the time limit is reached."""
         expansions: list[Expansion] = []
         for chunk in self._workers.expand(self._setup, level):
             expansions += chunk
-            if time.monotonic() - self._began > self._options.most_seconds:
+            if time.monotonic() - self._began > self._options.max_seconds:
                 break
         return expansions
 
     def _count_seconds(self) -> None:
-        self._frontier.result.seconds = self._spent_before + time.monotonic() - self._began
+        self._frontier.result.seconds = self._seconds_before + time.monotonic() - self._began
 
     def _save(self) -> None:
         if self._options.save is not None:
@@ -107,8 +107,9 @@
 ) -> Result:
     """Explores all states within the depth of the setup.
 
-    `setup.make` is called in each process, so that what it does to the loaded code holds there, too. `key`
-    names the search in a saved frontier. Raises SavedFrontierError if that can't be continued.
+    `setup.make_factory` is called in each process, so that a mutation that it plants in the loaded code takes
+    effect there, too. `key` identifies the search in a saved frontier. Raises SavedFrontierError if the saved
+    frontier can't be continued.
     """
     return _BreadthFirst(workers, setup, options, key).run(progress)
 
@@ -120,7 +121,7 @@
     began = time.monotonic()
     result = Result()
     expander = Expander(factory, depth, False, copying)
-    shortest = {fingerprint(factory().encode()): 0}  # by state: the fewest steps that were seen to lead there
+    shortest = {fingerprint(factory().encode()): 0}  # by state: the fewest steps found to lead to it
     stack = [Entry(())]
     while stack and not (stop_at_first and result.found):
         entry = stack.pop()
--- a/tests/test_model_checker_cli.py
+++ b/tests/test_model_checker_cli.py
@@ -40,9 +40,9 @@
     assert counts[0][0] == counts[1][0]
     saved = Path(f"{save}.purge")
     saved.write_bytes(saved.read_bytes()[:-3])
-    torn = run_command(*words, "--save", str(save))
-    assert torn.returncode == 2
-    assert "is torn" in torn.stderr
+    damaged = run_command(*words, "--save", str(save))
+    assert damaged.returncode == 2
+    assert "is damaged" in damaged.stderr
 
 
 def test_the_small_scope_holds() -> None:
--- a/tests/test_model_checker_search.py
+++ b/tests/test_model_checker_search.py
@@ -69,7 +69,7 @@
     path = tmp_path / "front"
     path.write_bytes(hashlib.blake2b(body, digest_size=16).digest() + body)
     read = Frontier.load(path, "key")
-    assert (read.entries, read.sleeping, read.result) == ([entry], {7: frozenset({"wait"})}, result)
+    assert (read.entries, read.sleep_sets, read.result) == ([entry], {7: frozenset({"wait"})}, result)
     with pytest.raises(SavedFrontierError, match="of another exploration: key, not other"):
         Frontier.load(path, "other")
 
@@ -79,7 +79,7 @@
     body = pickle.dumps(state)
     path = tmp_path / "front"
     path.write_bytes(hashlib.blake2b(body, digest_size=16).digest() + body)
-    with pytest.raises(SavedFrontierError, match=r"of another version: [^\n]+$"):
+    with pytest.raises(SavedFrontierError, match=r"by another version: [^\n]+$"):
         Frontier.load(path, "key")
 
 
