--- a/edge_router/model_checker/reach.py
+++ b/edge_router/model_checker/reach.py
@@ -1,4 +1,4 @@
-"""Coverage: which lines and branches of the core an exploration executes, and why the others are not."""
+"""The coverage report: which lines and branches of the core are executed, and why others are not."""
 
 from __future__ import annotations
 
@@ -21,7 +21,8 @@
 from edge_router.model_checker.walk import Walks, walk
 
 ROOT = Path(edge_router.__file__).parent
-WALKS, WALK_STEPS = 3, 1500
+WALKS, WALK_STEPS = 3, 1500  # random walks of a report, and the most steps in each
+# The files that hold the decisions and state of the router, without I/O.
 CORE = (
     "decision/candidate_selector.py",
     "decision/copy_tracker.py",
@@ -64,38 +65,43 @@
     "transport/client_session.py",
 )
 
-# Why lines may be missed: file, pattern of function names, reason. The first that matches holds.
+# Why an exploration may miss lines: file, pattern of function names, reason. The first entry that matches
+# applies; an empty file matches each file, and an empty pattern each function.
 REASONS: tuple[tuple[str, str, str], ...] = (
     (
         "decision/popularity.py",
         "record_request|_drop_less_popular_half|_rescale|_rank_objects|cache_rank|in_top_set|byte_share",
-        "popularity of thousands of requests; a scope has two, a walk hundreds",
+        "popularity over thousands of requests; a scope has two requests, a walk hundreds",
     ),
     (
         "decision/candidate_selector.py",
         "_spread|caches|_by_load|relative_load",
-        "popularity of thousands of requests; a scope has two, a walk hundreds",
+        "popularity over thousands of requests; a scope has two requests, a walk hundreds",
+    ),
+    (
+        "decision/copy_tracker.py",
+        "has_copy|record",
+        "the load of a congested link, which the operators' bench plays",
     ),
-    ("decision/copy_tracker.py", "has_copy|record", "load of a crowded link; the bench's days play it"),
     (
         "decision/link_loads.py",
         "is_congested|zone_link_is_congested",
-        "load of a crowded link; the bench's days play it",
+        "the load of a congested link, which the operators' bench plays",
     ),
     (
         "decision/link_load.py",
         "update_capacity|expected_slowdown",
-        "load of a crowded link; the bench's days play it",
+        "the load of a congested link, which the operators' bench plays",
     ),
     (
         "decision/slow_start.py",
         "available_capacity|allows",
-        "a slow-start budget that is used up takes more requests than a scope has",
+        "using up a slow-start budget takes more requests than a scope has",
     ),
     (
         "decision/policy.py",
         "_on_endpoint_list|_on_request|handle",
-        "polled lists and unknown classes, which only the simulator has",
+        "polled endpoint lists and unknown classes, which only the simulator has",
     ),
     (
         "decision/link_loads.py",
@@ -105,90 +111,113 @@
     (
         "decision/policy.py",
         "_try_send|_may_send|_charge_slow_start|_new_attempt|_max_copy_age|_fill_mode",
-        "slow-start budgets, no hedged requests, stale lifetimes",
+        "used-up slow-start budgets, settings without hedged requests, stale lifetimes",
     ),
-    ("decision/policy.py", "_on_attempt_ended", "late events, which the proxy never sends"),
-    ("proxy/messages.py", "__init__", "bad requests: tests/test_router.py"),
+    ("decision/policy.py", "_on_attempt_ended", "events that come too late, which the proxy never sends"),
+    ("proxy/messages.py", "__init__", "invalid requests: tests/test_request_validation.py"),
     (
         "runtime/timers.py",
         "next_due|_run_callback",
-        "an alarm that raises; the seeded faults and tests play it",
+        "cancelled timers, and callbacks that raise, which only faults cause",
     ),
     (
         "proxy/accounting.py",
         "attempt_ended",
-        "the second line against a second end: every caller looks first",
+        "a guard against a second end of an attempt; every caller checks this before",
     ),
     (
         "proxy/response_handler.py",
         "respond",
-        "the second line against a second answer, in nocancel at its full depth",
+        "a guard against a second answer, reached at the full depth of the scope nocancel",
     ),
     (
         "proxy/response_validation.py",
         "check_well_formed|find_defect|__str__",
-        "long bodies and wrong tags: tests/test_invalid_responses.py",
+        "long bodies and wrong entity tags: tests/test_invalid_responses.py",
     ),
     (
         "proxy/request_router.py",
         "on_request",
-        "when memory is out, the codec turns requests away before the stages",
+        "when the memory budget is used up, the FastCGI decoder rejects requests before they get here",
+    ),
+    (
+        "proxy/request_router.py",
+        "_handle_event",
+        "an exception in a decision, which only seeded faults cause",
     ),
-    ("proxy/request_router.py", "_handle_event", "an error in the decisions; the seeded faults play it"),
     (
         "proxy/request_router.py",
         "_on_backstop|_start_attempt",
-        "the last line: the module answers first; SIGTERM at full depth",
+        "the backstop: decisions answer first, except after SIGTERM at the full depth of a scope",
     ),
-    ("proxy/request_router.py", "expire_all", "the scope stopped at its full depth"),
+    ("proxy/request_router.py", "expire_all", "reached at the full depth of the scope stopped"),
     (
         "proxy/dispatcher.py",
         "_enqueue|on_response|on_connection_lost",
-        "full connections, short arrays: tests/test_router.py",
+        "full connections, which take more requests than a scope has; "
+        "responses that lack items: tests/test_invalid_responses.py",
+    ),
+    (
+        "proxy/upstream_connections.py",
+        "accepts",
+        "full connections, which take more requests than a scope has",
+    ),
+    (
+        "discovery/change_log_decoder.py",
+        "process",
+        "empty frames and unknown kinds: tests/test_endpoint_updates.py",
     ),
-    ("proxy/upstream_connections.py", "accepts", "full connections: tests/test_router.py"),
-    ("discovery/change_log_decoder.py", "process", "empty frames and unknown kinds: tests/test_router.py"),
     (
         "transport/upstream_channel.py",
         "_pump",
-        "a last look that leads to the next command: drain at full depth",
+        "a check before a send that queues another command, reached at the full depth of the scope drain",
     ),
     (
         "transport/client_session.py",
         "_dispatch_request|_pump",
-        "bad requests, and clients that are gone: tests/test_router.py",
+        "invalid requests: tests/test_request_validation.py; "
+        "clients that have disconnected: tests/test_unread_input.py; "
+        "connections that close after a response: tests/test_fastcgi_frontend.py",
     ),
     (
         "discovery/change_log_decoder.py",
         "_accept_gap|_decode_event",
-        "gaps that stay, and broken events: tests/test_endpoint_updates.py",
+        "persistent gaps, and malformed events: tests/test_endpoint_updates.py",
     ),
     (
         "protocol/change_log_frames.py",
         "decode_frames",
-        "broken frames: tests/test_endpoint_updates.py",
+        "malformed frames: tests/test_endpoint_updates.py",
     ),
     (
         "transport/client_session.py",
         "check_timeouts|is_idle|is_quiet|_start_closing|on_received|_send_control_record",
-        "slow and bad clients: tests/test_router.py",
+        "slow clients: tests/test_fastcgi_frontend.py; invalid requests: tests/test_request_validation.py",
     ),
-    ("proxy/fastcgi_frontend.py", "", "bad requests and /status/live: tests/test_router.py"),
-    ("proxy/request_parser.py", "", "bad requests: tests/test_router.py"),
-    ("protocol/fastcgi.py", "", "played by the codec machine, or limits of many requests"),
-    ("protocol/resp.py", "", "played by the codec machine"),
-    ("protocol/buffer.py", "", "large buffers: tests/test_router.py"),
+    (
+        "proxy/fastcgi_frontend.py",
+        "",
+        "invalid requests: tests/test_request_validation.py; /status/live: tests/test_admission.py",
+    ),
+    ("proxy/request_parser.py", "", "invalid requests: tests/test_request_validation.py"),
+    (
+        "protocol/fastcgi.py",
+        "",
+        "covered by the check of the codecs, or limits that take many requests to reach",
+    ),
+    ("protocol/resp.py", "", "covered by the check of the codecs"),
+    ("protocol/buffer.py", "", "large buffers: tests/test_forwarding.py"),
     (
         "proxy/admission.py",
         "",
-        "a whole core is never overdrawn by waiting in the scopes; the load day plays it",
+        "no scope exceeds the CPU share of a whole core by waiting; the operators' bench does under load",
     ),
-    ("", "__len__|statistics|log_statistics", "counts for people alone"),
+    ("", "__len__|statistics|log_statistics", "counts that only the statistics report"),
 )
 
 
-def _functions(path: Path) -> dict[int, str]:
-    """By line number: the qualified name of the function that contains the line."""
+def _functions_by_line(path: Path) -> dict[int, str]:
+    """Maps each line number to the qualified name of the function that contains the line."""
     found: dict[int, str] = {}
     stack: list[tuple[int, str]] = []
     for number, line in enumerate(path.read_text().splitlines(), 1):
@@ -202,8 +231,8 @@
     return found
 
 
-def at_import(path: Path) -> set[int]:
-    """The lines that run when a module is imported, which is before coverage starts."""
+def lines_run_on_import(path: Path) -> set[int]:
+    """The lines that run when a module is imported, which happens before coverage is recorded."""
     found: set[int] = set()
     waiting: list[ast.stmt] = list(ast.parse(path.read_text()).body)
     while waiting:
@@ -220,7 +249,7 @@
 
 
 def stale_names() -> list[str]:
-    """One message for each file or function that `CORE` or `REASONS` names and the core does not have."""
+    """Returns a message for each file or function in `CORE` or `REASONS` that does not exist."""
     messages = [f"CORE: there is no file {file}" for file in CORE if not (ROOT / file).exists()]
     for file, pattern, _ in REASONS:
         if file and not (ROOT / file).exists():
@@ -228,7 +257,7 @@
             continue
         defined = {name for path in ([file] if file else CORE) for name in _function_names(path)}
         messages += [
-            f"REASONS: {name!r} of the pattern {pattern!r} is no function of {file or 'any file in CORE'}"
+            f"REASONS: {name!r} of the pattern {pattern!r} is not a function of {file or 'any file in CORE'}"
             for name in filter(None, pattern.split("|"))
             if not any(function == name or function.endswith(f".{name}") for function in defined)
         ]
@@ -237,11 +266,11 @@
 
 def _function_names(file: str) -> set[str]:
     path = ROOT / file
-    return set(_functions(path).values()) if path.exists() else set()
+    return set(_functions_by_line(path).values()) if path.exists() else set()
 
 
 def reason(file: str, function: str) -> str:
-    """Why lines of a function were not executed; empty if no reason is recorded."""
+    """Returns why lines of a function may not be executed; empty if no reason is recorded."""
     for where, names, why in REASONS:
         if where in ("", file) and (not names or re.search(rf"(^|\.)({names})$", function)):
             return why
@@ -249,14 +278,14 @@
 
 
 def report(depth: int, lines: bool) -> Iterator[str]:
-    """Explores the small scope to that depth, and yields the lines of the report.
+    """Explores the small scopes to `depth`, and yields the lines of the report.
 
-    `lines` adds the numbers of the lines that were not executed, with the reason.
+    `lines` adds the line numbers that were not executed, with the reason.
     """
     yield "Properties:"
     for prop in PROPERTIES.values():
         yield f"  {prop.name:18} {prop.rule} [{prop.source}]"
-    yield "Hard cases, and the scope that holds each:"
+    yield "Hard cases, and the scope that includes each:"
     for case, scope in HARD_CASES.items():
         yield f"  {scope:10} {case}"
     cover = _explore_under_coverage(depth)
@@ -274,7 +303,7 @@
 
 
 def _explore_under_coverage(depth: int) -> coverage.Coverage:
-    """Runs the small scope to that depth, the smaller machines and some walks."""
+    """Explores the small scopes to `depth`, one connection and the codecs, and runs some random walks."""
     cover = coverage.Coverage(data_file=None, branch=True, include=[str(ROOT / name) for name in CORE])
     cover.start()
     try:
@@ -293,21 +322,21 @@
 
 @dataclass(frozen=True)
 class FileCoverage:
-    """The executable lines of a file, without those that run when it is imported."""
+    """The executable lines of a file, without those that run on import."""
 
     name: str
     statements: int
-    missing: dict[str, list[int]]  # by function: the lines that were not executed
+    missing: dict[str, list[int]]  # by function: the line numbers that were not executed
 
     def missed(self) -> int:
-        """How many lines were not executed."""
+        """The number of lines that were not executed."""
         return sum(map(len, self.missing.values()))
 
 
 def _file_coverage(cover: coverage.Coverage, name: str) -> FileCoverage:
     path = ROOT / name
     _, statements, _, missing, _ = cover.analysis2(str(path))
-    imported, functions = at_import(path), _functions(path)
+    imported, functions = lines_run_on_import(path), _functions_by_line(path)
     by_function: dict[str, list[int]] = {}
     for line in missing:
         if line not in imported:
@@ -317,12 +346,12 @@
 
 def _missing_lines(file: FileCoverage) -> Iterator[str]:
     for function, numbers in file.missing.items():
-        why = reason(file.name, function) or "NO REASON ON RECORD"
+        why = reason(file.name, function) or "NO REASON RECORDED"
         yield f"    {function}: {', '.join(map(str, numbers))}: {why}"
 
 
 def _branches(cover: coverage.Coverage) -> tuple[int, int]:
-    """How many branches the core has, and how many of them were taken."""
+    """The number of branches of the core, and how many of them were taken."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder, "report.json")
         cover.json_report(outfile=str(path))
@@ -330,20 +359,21 @@
     return int(totals["num_branches"]), int(totals["covered_branches"])
 
 
+# Hard cases (race conditions) that the exploration must include, and the scope that includes each.
 HARD_CASES = {
-    "a cancel that crosses a late answer": "hedge",
-    "a drain that arrives during a fill, of the cache": "drain",
-    "a drain that arrives during a fill, of its source": "drain",
-    "a hedge won in the moment the first attempt is reset": "hedge",
-    "a client abort between first byte and answer": "clients",
-    "a purge between order and first byte": "purge",
-    "an id replaced at the same address with bytes in flight": "drain",
-    "SIGTERM while a pick-confirm is half written": "stop",
-    "deadline, cut-off timer and answer in one instant": "deadline",
+    "a cancellation that crosses a late answer": "hedge",
+    "a drain of the cache during a fill": "drain",
+    "a drain of the source during a fill": "drain",
+    "a hedged request answered at the moment that the first attempt is reset": "hedge",
+    "a client abort between the first byte and the answer": "clients",
+    "a purge between the decision and the first byte": "purge",
+    "an endpoint replaced at the same address with bytes in flight": "drain",
+    "SIGTERM while a confirm request is half written": "stop",
+    "deadline, attempt timeout and answer at the same moment": "deadline",
 }
-# Steps that reproduce each hard case; the tests check that the exploration includes them.
+# Steps that reproduce each hard case; a test checks that they are enabled in its scope.
 HARD_STEPS: dict[str, tuple[str, ...]] = {
-    "a cancel that crosses a late answer": (
+    "a cancellation that crosses a late answer": (
         "ask 0",
         "up c1.0",
         "wait",
@@ -352,9 +382,9 @@
         "hit c1.1 0",
         "hit c1.0 0",
     ),
-    "a drain that arrives during a fill, of the cache": ("ask 0", "up c1.0", "drain c1", "filled c1.0 0"),
-    "a drain that arrives during a fill, of its source": ("ask 0", "up c1.0", "drain p1", "filled c1.0 0"),
-    "a hedge won in the moment the first attempt is reset": (
+    "a drain of the cache during a fill": ("ask 0", "up c1.0", "drain c1", "filled c1.0 0"),
+    "a drain of the source during a fill": ("ask 0", "up c1.0", "drain p1", "filled c1.0 0"),
+    "a hedged request answered at the moment that the first attempt is reset": (
         "ask 0",
         "up c1.0",
         "wait",
@@ -363,23 +393,29 @@
         "reset c1.0",
         "hit c1.0 0",
     ),
-    "a client abort between first byte and answer": ("ask 0", "decide", "up c1.0", "abort 0", "hit c1.0 0"),
-    "a purge between order and first byte": ("ask 0", "purge", "up c2.0", "hit c2.0 0"),
-    "an id replaced at the same address with bytes in flight": (
+    "a client abort between the first byte and the answer": (
+        "ask 0",
+        "decide",
+        "up c1.0",
+        "abort 0",
+        "hit c1.0 0",
+    ),
+    "a purge between the decision and the first byte": ("ask 0", "purge", "up c2.0", "hit c2.0 0"),
+    "an endpoint replaced at the same address with bytes in flight": (
         "ask 0",
         "choke20 c1.0",
         "up c1.0",
         "replace c1",
         "up n1.0",
     ),
-    "SIGTERM while a pick-confirm is half written": (
+    "SIGTERM while a confirm request is half written": (
         "ask 0",
         "choke20 c1.0",
         "up c1.0",
         "term",
         "flush c1.0",
     ),
-    "deadline, cut-off timer and answer in one instant": (
+    "deadline, attempt timeout and answer at the same moment": (
         "ask 0",
         "up c1.0",
         "wait",
--- a/tests/test_model_checker_coverage.py
+++ b/tests/test_model_checker_coverage.py
@@ -1,4 +1,4 @@
-"""The coverage report of the model checker: the files and functions that it names are those of the core."""
+"""The coverage report of the model checker names only files and functions of the core that exist."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from edge_router.model_checker import reach
 
 
-def test_the_coverage_report_names_files_and_functions_that_exist() -> None:
-    assert reach.stale_names() == [], "follow the renames of the core in edge_router/model_checker/reach.py"
+def test_coverage_report_names_existing_files_and_functions() -> None:
+    assert reach.stale_names() == [], "rename these in edge_router/model_checker/reach.py, too"
 
 
-def test_stale_names_of_the_coverage_report_are_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_stale_names_in_the_coverage_report_are_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(reach, "CORE", ("runtime/timers.py", "runtime/none.py"))
     reasons = (
         ("runtime/timers.py", "_run_callback|Timers.next_due|absent", ""),
@@ -21,6 +21,6 @@
     assert reach.stale_names() == [
         "CORE: there is no file runtime/none.py",
         "REASONS: 'absent' of the pattern '_run_callback|Timers.next_due|absent' "
-        "is no function of runtime/timers.py",
+        "is not a function of runtime/timers.py",
         "REASONS: there is no file runtime/other.py",
     ]
