--- a/edge_router/model_checker/chart.py
+++ b/edge_router/model_checker/chart.py
@@ -75,7 +75,7 @@
         axes.text(-0.75, y, f"{traced.at:.0f} ms", size=7, ha="right", va="center", color="0.4")
     verdict = (
         "; ".join(f"{violation.property_name}: {violation.detail}" for violation in violations)
-        or "no property is violated"
+        or "nothing is broken"
     )
     axes.text(router, -len(taken) - 0.9, verdict, size=8, color="tab:red", ha="center")
     axes.set_xlim(-1.2, len(lanes) - 0.4)
--- a/edge_router/model_checker/scope.py
+++ b/edge_router/model_checker/scope.py
@@ -1,11 +1,11 @@
-"""The bounds of an exploration: which peers there are, which faults may occur, and how many."""
+"""The bounds of an exploration: which peers exist, and which faults may occur how often."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-ANSWERS: dict[str, tuple[str, str]] = {  # by the word of the step: the code and the note of an answer
+ANSWERS: dict[str, tuple[str, str]] = {  # by the word of the step: status and `tell` field of the answer
     "hit": ("200", "hit"),
     "filled": ("200", "filled"),
     "via": ("200", "via_origin"),
@@ -25,7 +25,7 @@
 }
 NORMAL_ANSWERS = ("hit", "filled")  # answers that do not count as faults
 
-# The kinds of faults; each use counts as one.
+# The kinds of faults; each occurrence counts as one fault.
 CONNECTION_FAULTS = (
     "refuse",
     "never",
@@ -51,24 +51,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Scope:
-    """The bounds of one exploration. The names of the fields are stored in traces and saved frontiers."""
+    """The bounds of one exploration.
+
+    Traces store the fields by name. The repr is part of the key of a saved frontier, so frontiers can't be
+    continued after a change of a field's name, place or value, also of a note.
+    """
 
     name: str
-    requests: tuple[str, ...]  # their classes; requests of one class ask for the same object
+    requests: tuple[str, ...]  # their classes; requests of the same class are for the same object
     caches: int = 2
     parents: int = 1
-    attempts: int = 2  # at most, for each request
-    faults: int = 1  # at most, in a run
-    depth: int = 12  # steps
+    attempts: int = 2  # most attempts for each request
+    faults: int = 1  # most faults in a run
+    depth: int = 12  # most steps
     kinds: tuple[str, ...] = ()  # of faults
     answers: tuple[str, ...] = NORMAL_ANSWERS
-    fine: bool = False  # the router's own turns (decisions, noticing an end) are steps of their own
-    seen: bool = False  # clients have a copy and send its tag
+    fine: bool = False  # decisions, and noticing that a connection has ended, are separate steps
+    seen: bool = False  # clients have a copy and send its entity tag
     cancel: bool = True  # whether attempts may be cancelled
-    relief: bool = False  # limits may return to their first values
-    targets: tuple[str, ...] = ("c1", "c2", "p1", "o1")  # nodes that faults of the list may affect
+    relief: bool = False  # limits may be restored
+    targets: tuple[str, ...] = ("c1", "c2", "p1", "o1")  # nodes that `NODE_FAULTS` may affect
     prefix: tuple[str, ...] = ()  # steps taken at the start, not counted in the depth
-    note: str = field(default="", compare=False)
+    note: str = field(default="", compare=False)  # what the scope is for
 
     def with_bounds(self, **changes: Any) -> Scope:
         """A copy of the scope with other bounds."""
@@ -292,7 +296,7 @@
 
 
 def named(scopes: tuple[Scope, ...], name: str) -> Scope:
-    """The scope of that name; raises KeyError."""
+    """Returns the scope of that name; raises KeyError if there is none."""
     for scope in scopes:
         if scope.name == name:
             return scope
--- a/edge_router/model_checker/trace.py
+++ b/edge_router/model_checker/trace.py
@@ -1,4 +1,4 @@
-"""A counterexample: its steps in words, its file, its replay, and how it is made shorter."""
+"""Counterexamples: their files, their replay, their steps in words, and how they are shortened."""
 
 from __future__ import annotations
 
@@ -15,60 +15,60 @@
 from edge_router.model_checker.results import SETTLE, MachineFactory, Steps
 from edge_router.model_checker.scope import ANSWERS, Scope
 
-FORMAT = 1
+FORMAT = 1  # of the file of a trace
 _DESCRIPTIONS = {
-    "ask": "client: request {0} ({cls}) comes in",
+    "ask": "client: sends request {0} ({cls})",
     "abort": "client: aborts request {0}",
-    "retry": "client: asks again for request {0}",
-    "leave": "client: the connection is closed",
-    "stall": "client: accepts no bytes",
-    "unstall": "client: reads again",
-    "up": "{0}: the connection is up",
-    "refuse": "{0}: the connection is refused",
-    "never": "{0}: the connection will never come up",
-    "lack": "{0}: no descriptor for the connection",
+    "retry": "client: sends request {0} again, under a new id",
+    "leave": "client: closes the connection",
+    "stall": "client: stops reading",
+    "unstall": "client: resumes reading",
+    "up": "{0}: the connection is established",
+    "refuse": "{0}: refuses the connection",
+    "never": "{0}: the connection will never be established",
+    "lack": "{0}: the router has no descriptor for the connection",
     "reset": "{0}: resets the connection",
     "hangup": "{0}: closes the connection",
     "choke0": "{0}: accepts no more bytes",
     "choke20": "{0}: accepts 20 more bytes",
     "flush": "{0}: accepts bytes again",
     "second": "{0}: answers request {1} a second time",
-    "stray": "{0}: an answer with an unknown id",
-    "spoil": "{0}: an answer to request {1} that can't be read",
-    "half": "{0}: half an answer to request {1}, then a reset",
-    "trickle": "{0}: half an answer to request {1}",
-    "rest": "{0}: the rest of the answer",
-    "drain": "list: {0} is draining",
-    "gone": "list: {0} is gone",
-    "replace": "list: {0} is gone, a new node has its address",
-    "restart": "list: {0} has restarted",
-    "back": "list: {0} is ready again",
-    "join": "list: a new cache",
-    "purge": "list: the object is purged",
-    "purgeall": "list: the group is purged",
+    "stray": "{0}: sends an answer with an unknown request id",
+    "spoil": "{0}: sends an answer to request {1} that can't be decoded",
+    "half": "{0}: sends half of an answer to request {1}, then resets the connection",
+    "trickle": "{0}: sends half of an answer to request {1}",
+    "rest": "{0}: sends the rest of the answer",
+    "drain": "change log: {0} is draining",
+    "gone": "change log: {0} is gone",
+    "replace": "change log: {0} is gone, and a new node has its address",
+    "restart": "change log: {0} has restarted",
+    "back": "change log: {0} is ready again",
+    "join": "change log: a new cache is added",
+    "purge": "change log: the object is purged",
+    "purgeall": "change log: the group is purged",
     "cut": "change log: the connection breaks",
-    "mend": "change log: connected again, sends what was missed",
+    "mend": "change log: the connection is restored, and missed events are sent",
     "repeat": "change log: sends the last event again",
-    "gap": "change log: the next event comes under a number too high",
+    "gap": "change log: the next event will have a sequence number that is one too high",
     "term": "router: SIGTERM",
     "reload": "router: a new configuration allows one connection",
     "nomem": "router: the memory budget is used up",
-    "nocpu": "router: over its share of CPU",
-    "nolinks": "router: no descriptors for more connections",
-    "relief": "router: the limits are as before",
-    "wait": "time passes to the next alarm",
-    "fire": "router: the alarms that are due are run",
-    "decide": "router: decides what waits",
+    "nocpu": "router: has used more than its share of CPU",
+    "nolinks": "router: has no descriptors for more connections",
+    "relief": "router: the limits are restored",
+    "wait": "time passes until the next timer is due",
+    "fire": "router: runs the timers that are due",
+    "decide": "router: decides waiting requests",
     "end": "router: notices the end of {0}",
-    "notup": "router: gives up connecting {0}",
+    "notup": "router: gives up connecting to {0}",
     "endsession": "router: ends the client connection",
-    "expire": "router: ends all that is open",
-    SETTLE: "all peers fall silent, and time passes until all is quiet",
+    "expire": "router: ends all open requests",
+    SETTLE: "all peers do nothing more, and time passes until nothing is left to do",
 }
 
 
 class TracedStep(NamedTuple):
-    """A step that was taken."""
+    """A step that was taken in a replay."""
 
     at: float  # ms since the start
     step: str
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True)
 class Trace:
-    """Steps that violate a property, and all that is needed to replay them."""
+    """Steps that violate a property, and what is needed to replay them."""
 
     scope: Scope
     steps: Steps
@@ -86,7 +86,7 @@
     mutation: str = ""  # the planted fault; empty for the real code
 
     def to_json(self) -> str:
-        """The text of the file, the same for the same trace."""
+        """Returns the text of the file, which is the same for equal traces."""
         table = {
             "format": FORMAT,
             "scope": asdict(self.scope),
@@ -99,7 +99,7 @@
 
     @classmethod
     def from_json(cls, text: str) -> Trace:
-        """Reads the text of a file; raises ValueError if it is no trace."""
+        """Reads the text of a file; raises ValueError if it is not a trace."""
         try:
             table: dict[str, Any] = json.loads(text)
             if table["format"] != FORMAT:
@@ -117,19 +117,22 @@
                 str(table.get("seed", "")),
             )
         except (KeyError, TypeError, AttributeError) as error:
-            raise ValueError(f"no trace: {error!r}") from error
+            raise ValueError(f"not a trace: {error!r}") from error
 
     @classmethod
     def read(cls, path: Path) -> Trace:
-        """Reads a file; raises ValueError or OSError."""
+        """Reads a file; raises ValueError if it is not a trace, and OSError if it can't be read."""
         return cls.from_json(path.read_text())
 
     def factory(self) -> MachineFactory:
-        """The factory of the model in which it was found, with its mutation planted."""
+        """The factory of the model that violates the property; plants the mutation in this process."""
         return model_factory(self.scope, self.mutation)
 
     def replay(self) -> tuple[list[TracedStep], list[Violation]]:
-        """Takes the steps again, as far as they are enabled; returns them and the violations in the end."""
+        """Takes the steps until one is not enabled or violates a property.
+
+        Returns the steps that were taken, and the violations.
+        """
         machine = self.factory()()
         assert isinstance(machine, RouterModel)
         taken = []
@@ -146,7 +149,7 @@
         return taken, machine.violations
 
     def report(self) -> str:
-        """The steps and violations as text for a person on call."""
+        """Returns the property, the steps and the violations as text."""
         taken, violations = self.replay()
         rule = PROPERTIES[self.property_name]
         lines = [f"{self.property_name}: {rule.rule} ({rule.source})"]
@@ -162,7 +165,7 @@
 
 
 def model_factory(scope: Scope, mutation: str = "") -> MachineFactory:
-    """The factory of a model of the scope; plants the mutation in this process."""
+    """Returns the factory of a model of the scope, and plants the mutation in this process."""
     mutations.plant(mutation)
 
     def factory() -> Machine:
@@ -172,23 +175,23 @@
 
 
 def describe(model: RouterModel, step: str) -> str:
-    """A step in words."""
+    """Describes a step in words."""
     word, _, rest = step.partition(" ")
     args = rest.split()
     if word in ANSWERS:
-        code, note = ANSWERS[word]
-        return f"{args[0]}: answers request {args[1]} with {code}{f', {note}' if note else ''}"
-    place = int(args[0]) if args and args[0].isdigit() else -1
+        status, note = ANSWERS[word]
+        return f"{args[0]}: answers request {args[1]} with {status}{f', {note}' if note else ''}"
+    index = int(args[0]) if args and args[0].isdigit() else -1
     requests = model.state.clients.requests
-    cls = requests[place].class_name if 0 <= place < len(requests) else ""
+    cls = requests[index].class_name if 0 <= index < len(requests) else ""
     return _DESCRIPTIONS.get(word, word).format(*args, cls=cls)
 
 
 def shrink(factory: MachineFactory, steps: Steps, property_name: str) -> Steps:
-    """The fewest steps found that violate the same property: parts are left out by halves, then one by one.
+    """Returns fewer steps that violate the same property: leaves out halves, then smaller and smaller parts.
 
-    After Zeller and Hildebrandt, "Simplifying and isolating failure-inducing input", 2002. Steps that are not
-    enabled are skipped.
+    Steps that are not enabled are skipped. The method is that of Zeller and Hildebrandt, "Simplifying and
+    isolating failure-inducing input", 2002.
     """
     best = enabled_steps_to(factory, steps, property_name) or steps
     size = max(1, len(best) // 2)
@@ -205,7 +208,10 @@
 
 
 def enabled_steps_to(factory: MachineFactory, steps: Steps, property_name: str) -> Steps | None:
-    """Takes those of the steps that are enabled; the ones up to a violation of the property, or None."""
+    """Takes the steps that are enabled, and returns them once they violate the property.
+
+    Returns None if they violate another property first, or none.
+    """
     machine = factory()
     taken: list[str] = []
     for step in steps:
