--- a/edge_router/cli/explore.py
+++ b/edge_router/cli/explore.py
@@ -169,7 +169,7 @@
         table.add_row(
             caught.name,
             by,
-            caught.where or "-",
+            caught.scope_name or "-",
             str(caught.states),
             str(len(caught.found.steps)) if caught.found else "-",
             f"{caught.seconds:.1f}",
@@ -202,7 +202,7 @@
     done = random_walks_in_parallel(seed, walks, steps, _processes(processes))
     _show(WALK.name, Result(found=done.found), (WALK,), traces)
     click.echo(
-        f"walks={done.walks} steps={done.steps} kinds={len(done.words)} violations={len(done.found)} "
+        f"walks={done.walks} steps={done.steps} kinds={len(done.step_counts)} violations={len(done.found)} "
         f"seconds={time.monotonic() - began:.1f}"
     )
     sys.exit(ExitStatus.VIOLATIONS if done.found else ExitStatus.HELD)
--- a/edge_router/model_checker/mutation_run.py
+++ b/edge_router/model_checker/mutation_run.py
@@ -1,4 +1,4 @@
-"""Runs whole explorations: scopes, the two smaller machines, random walks, and the search for mutations."""
+"""Runs whole explorations: scopes, one connection, the codecs, random walks, and the search for mutations."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from edge_router.model_checker.trace import Trace, model_factory, shrink
 from edge_router.model_checker.walk import Walks, walk
 
-CHANNEL_DEPTH = 14
-MOST_SECONDS_PER_SCOPE = 400.0  # then a scope is given up, and reported as incomplete
+CHANNEL_DEPTH = 14  # steps
+MAX_SECONDS_PER_SCOPE = 400.0  # a scope that takes longer is ended and reported as incomplete
 DEFAULT_OPTIONS = Options()
-CODECS, CHANNEL = "codecs", "channel"  # the smaller machines, where a scope may be named
+CODECS, CHANNEL = "codecs", "channel"  # names that stand for the two smaller checks in place of a scope
 
 
 def channel_factory(mutation: str = "") -> MachineFactory:
-    """The factory of the machine of one connection; plants the mutation in this process."""
+    """Returns the factory of the channel machine, and plants the mutation in this process."""
     mutations.plant(mutation)
 
     def factory() -> Machine:
@@ -53,10 +53,10 @@
     report: Callable[[str, Result], None] | None = None,
     save_every: float = 20.0,
 ) -> Result:
-    """Explores scopes one after the other, then the two smaller machines.
+    """Explores scopes one after the other, then one connection and the codecs.
 
-    With `save`, each scope's frontier is saved in a file of that name and the scope's, from which a later
-    run continues. `report` is called with the name and the result of each scope.
+    With `save`, the frontier of each scope is saved every `save_every` seconds in the file `<save>.<scope>`,
+    from which a later run continues. `report` is called with the name and the result of each scope.
     """
     total = Result()
 
@@ -67,7 +67,7 @@
 
     for scope in scopes:
         path = save.with_name(f"{save.name}.{scope.name}") if save else None
-        options = Options(max_seconds=MOST_SECONDS_PER_SCOPE, save=path, save_every=save_every)
+        options = Options(max_seconds=MAX_SECONDS_PER_SCOPE, save=path, save_every=save_every)
         done(scope.name, explore(scope, workers, options))
     done(CHANNEL, explore_channel(workers))
     done(CODECS, explore_codecs())
@@ -75,13 +75,13 @@
 
 
 def explore_channel(workers: WorkerPool, mutation: str = "", stop_at_first: bool = False) -> Result:
-    """Explores the life of one connection."""
+    """Explores one connection with the channel machine."""
     setup = Setup(channel_factory, (mutation,), CHANNEL_DEPTH)
     return breadth_first(workers, setup, Options(stop_at_first=stop_at_first))
 
 
 def explore_codecs(mutation: str = "", short: bool = True) -> Result:
-    """Splits the streams of both codecs in all ways; a stream counts as a state, a split as a transition."""
+    """Checks the decoders; in the result, a stream counts as a state, and a split as a transition."""
     began = time.monotonic()
     mutations.plant(mutation)
     try:
@@ -96,49 +96,50 @@
     )
 
 
-# -- mutations --
-
-
 @dataclass(frozen=True)
 class MutationResult:
-    """Whether a mutation was found, and where."""
+    """Whether a mutation was found, and in which scope."""
 
     name: str
-    breaks: str  # the property that it was expected to violate
-    where: str = ""  # the scope that found it; empty if none did
+    breaks: str  # the property that it is expected to violate
+    scope_name: str = ""  # the scope that found it; empty if none did
     found: Found | None = None
-    states: int = 0  # until then, over all scopes that were tried
+    states: int = 0  # explored until it was found, in all scopes that were searched
     seconds: float = 0.0
-    crash: str = ""
+    crash: str = ""  # the exception that ended the search; empty if none did
 
     def trace(self) -> Trace | None:
-        """The counterexample, if it is one of the router model."""
-        if self.found is None or self.where in (CODECS, CHANNEL):
+        """Returns the counterexample; None if there is none or if it is not one of the router model."""
+        if self.found is None or self.scope_name in (CODECS, CHANNEL):
             return None
         violation = self.found.violation
         return Trace(
-            named(SMALL, self.where), self.found.steps, violation.property_name, violation.detail, self.name
+            named(SMALL, self.scope_name),
+            self.found.steps,
+            violation.property_name,
+            violation.detail,
+            self.name,
         )
 
 
 def search_mutation(name: str) -> MutationResult:
-    """Searches the scopes of one mutation in this process, and restores the code afterwards."""
+    """Searches the scopes of one mutation in this process until it is found, then restores the code."""
     mutation = mutations.by_name(name)
     began, states = time.monotonic(), 0
-    where, found, crash = "", None, ""
+    scope_name, found, crash = "", None, ""
     try:
         with WorkerPool(1) as workers:
             for scope in mutation.scopes:
                 result = _explore_mutated(scope, name, workers)
                 states += result.states
                 if result.found:
-                    where, found = scope, _expected_or_first(result.found, mutation.breaks)
+                    scope_name, found = scope, _expected_or_first(result.found, mutation.breaks)
                     break
     except Exception as error:
         crash = repr(error)
     finally:
         mutations.plant("")
-    return MutationResult(name, mutation.breaks, where, found, states, time.monotonic() - began, crash)
+    return MutationResult(name, mutation.breaks, scope_name, found, states, time.monotonic() - began, crash)
 
 
 def _explore_mutated(scope: str, mutation: str, workers: WorkerPool) -> Result:
@@ -156,18 +157,15 @@
 
 
 def search_mutations(names: list[str], processes: int) -> list[MutationResult]:
-    """Searches several mutations, each in one process of a pool; in the order of the names."""
+    """Searches several mutations, each in one process of a pool; returns the results in their order."""
     if processes == 1:
         return list(map(search_mutation, names))
     with multiprocessing.get_context("spawn").Pool(processes) as pool:
         return pool.map(search_mutation, names, chunksize=1)
 
 
-# -- random walks --
-
-
 def random_walks(first_seed: int, count: int, steps: int, scope: Scope = WALK, mutation: str = "") -> Walks:
-    """Walks with the random seeds from `first_seed` on; stops at the first violation, with a short trace."""
+    """Walks with `count` seeds from `first_seed` on, until the first violation, whose trace is shortened."""
     walks = Walks()
     factory = model_factory(scope, mutation)
     try:
@@ -185,7 +183,7 @@
 
 
 def random_walks_in_parallel(first_seed: int, count: int, steps: int, processes: int) -> Walks:
-    """Walks on several processes; the same walks for any number of them."""
+    """Walks in several processes; the walks are the same for any number of processes."""
     spans = [(seed, 1, steps) for seed in range(first_seed, first_seed + count)]
     total = Walks()
     if processes == 1:
--- a/edge_router/model_checker/walk.py
+++ b/edge_router/model_checker/walk.py
@@ -1,4 +1,4 @@
-"""Seeded random walks, beyond the bounds of what can be explored exhaustively."""
+"""Seeded random walks, which go beyond the bounds that can be explored exhaustively."""
 
 from __future__ import annotations
 
@@ -8,7 +8,8 @@
 from edge_router.model_checker.results import SETTLE, Found, MachineFactory
 from edge_router.model_checker.scope import ALL_FAULTS, NORMAL_ANSWERS
 
-# How likely a step is to be taken, by its first word; faults are rare, so that much happens between them.
+# Relative probabilities of steps, by their first word. Faults are rare, so that many other steps are taken
+# between them.
 WEIGHTS = {
     "ask": 6.0,
     "up": 8.0,
@@ -26,7 +27,7 @@
     "notup": 8.0,
 }
 FAULT_WEIGHT = 0.12
-ANSWER_WEIGHT = 0.8  # of answers that are faults
+FAULT_ANSWER_WEIGHT = 0.8  # of answers that count as faults
 NORMAL_WEIGHT = 1.0
 
 
@@ -36,43 +37,43 @@
 
     walks: int = 0
     steps: int = 0
-    words: dict[str, int] = field(default_factory=dict)  # by the first word of a step: how often it was taken
+    step_counts: dict[str, int] = field(default_factory=dict)  # by the first word of the steps
     found: list[Found] = field(default_factory=list)
 
     def add(self, other: Walks) -> None:
-        """Adds other walks."""
+        """Adds the counts and violations of other walks."""
         self.walks += other.walks
         self.steps += other.steps
         self.found += other.found
-        for word, times in other.words.items():
-            self.words[word] = self.words.get(word, 0) + times
+        for word, count in other.step_counts.items():
+            self.step_counts[word] = self.step_counts.get(word, 0) + count
 
 
 def weight(step: str) -> float:
-    """How likely a step is, relative to the others."""
+    """Returns the relative probability of a step."""
     word = step.partition(" ")[0]
     if word in WEIGHTS:
         return WEIGHTS[word]
     if word.rstrip("0123456789") in ALL_FAULTS:
         return FAULT_WEIGHT
-    return NORMAL_WEIGHT if word in NORMAL_ANSWERS else ANSWER_WEIGHT
+    return NORMAL_WEIGHT if word in NORMAL_ANSWERS else FAULT_ANSWER_WEIGHT
 
 
-def walk(factory: MachineFactory, seed: int, most_steps: int, walks: Walks) -> None:
-    """Adds one walk of at most so many steps, after which the machine settles."""
-    chooser = random.Random(seed)
+def walk(factory: MachineFactory, seed: int, max_steps: int, walks: Walks) -> None:
+    """Walks at most `max_steps` steps, settles the machine, and adds the walk to `walks`."""
+    generator = random.Random(seed)
     machine = factory()
     taken: list[str] = []
     walks.walks += 1
-    while len(taken) < most_steps and not machine.violations:
+    while len(taken) < max_steps and not machine.violations:
         enabled = machine.enabled()
         if not enabled:
             break
-        step = chooser.choices(enabled, list(map(weight, enabled)))[0]
+        step = generator.choices(enabled, list(map(weight, enabled)))[0]
         taken.append(step)
         machine.do(step)
         word = step.partition(" ")[0]
-        walks.words[word] = walks.words.get(word, 0) + 1
+        walks.step_counts[word] = walks.step_counts.get(word, 0) + 1
     if not machine.violations:
         taken.append(SETTLE)
         machine.settle()
--- a/tests/model_checker_helpers.py
+++ b/tests/model_checker_helpers.py
@@ -1,4 +1,4 @@
-"""What the tests of the model checker share."""
+"""Functions that the tests of the model checker share."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
 
 
 def small(name: str, **bounds: object) -> scope.Scope:
-    """A part of the small scope, with other bounds."""
+    """Returns one of the small scopes, with other bounds."""
     return scope.named(scope.SMALL, name).with_bounds(**bounds)
 
 
-def explored(bounds: scope.Scope, processes: int = 4, seed: str = "", **options: object) -> Result:
-    """Explores a scope, with a seeded fault planted if one is named."""
+def explored(bounds: scope.Scope, processes: int = 4, mutation: str = "", **options: object) -> Result:
+    """Explores a scope, with a mutation planted if one is named."""
     with WorkerPool(processes) as workers:
-        result = mutation_run.explore(bounds, workers, Options(**options), seed)  # type: ignore[arg-type]
+        result = mutation_run.explore(bounds, workers, Options(**options), mutation)  # type: ignore[arg-type]
     mutations.plant("")
     return result
 
 
 def violations_of(result: Result) -> list[tuple[tuple[str, ...], str]]:
-    """The steps and the property of each violation."""
+    """Returns the steps and the property of each violation."""
     return [(found.steps, found.violation.property_name) for found in result.found]
--- a/tests/test_model_checker_cli.py
+++ b/tests/test_model_checker_cli.py
@@ -1,4 +1,4 @@
-"""The commands `explore` and `demo`, started as a person does."""
+"""The commands `explore` and `demo`, started as processes."""
 
 from __future__ import annotations
 
@@ -17,23 +17,24 @@
 from edge_router.model_checker.trace import Trace, model_factory, shrink
 
 
-def test_a_long_run_goes_on_after_a_kill(tmp_path: Path) -> None:
+def test_killed_exploration_continues_from_its_saved_frontier(tmp_path: Path) -> None:
     words = ("explore", "run", "--scope", "purge", "--depth", "7", "--processes", "2")
-    whole = run_command(*words)
+    uninterrupted = run_command(*words)
     save = tmp_path / "front"
     killed = subprocess.Popen(
         [sys.executable, "-m", "edge_router", *words, "--save", str(save), "--save-every", "0"],
         stdout=subprocess.DEVNULL,
         start_new_session=True,
     )
-    limit = time.monotonic() + 60.0
-    while not Path(f"{save}.purge").exists() and time.monotonic() < limit:
+    give_up_at = time.monotonic() + 60.0
+    while not Path(f"{save}.purge").exists() and time.monotonic() < give_up_at:
         time.sleep(0.01)
     os.killpg(killed.pid, signal.SIGKILL)
     killed.wait()
-    again = run_command(*words, "--save", str(save))
+    resumed = run_command(*words, "--save", str(save))
     counts = [
-        re.search(r"states=\d+ transitions=\d+ depth=\d+ violations=0", one.stdout) for one in (whole, again)
+        re.search(r"states=\d+ transitions=\d+ depth=\d+ violations=0", run.stdout)
+        for run in (uninterrupted, resumed)
     ]
     assert counts[0]
     assert counts[1]
@@ -45,20 +46,20 @@
     assert "is damaged" in damaged.stderr
 
 
-def test_the_small_scope_holds() -> None:
-    done = run_command("explore", "run", "--scope", "small")
-    assert done.returncode == 0, done.stdout + done.stderr
+def test_small_scope_has_no_violation() -> None:
+    result = run_command("explore", "run", "--scope", "small")
+    assert result.returncode == 0, result.stdout + result.stderr
     assert re.fullmatch(
         r"scope=small states=\d+ transitions=\d+ depth=\d+ violations=0 seconds=[\d.]+ "
         r"states_per_s=\d+",
-        done.stdout.splitlines()[-1],
+        result.stdout.splitlines()[-1],
     )
 
 
-def test_a_trace_is_shrunk_kept_and_told(tmp_path: Path) -> None:
-    start = model_factory(small("confirm"), "reset-told-as-never-run")
+def test_trace_is_shortened_saved_and_reported(tmp_path: Path) -> None:
+    factory = model_factory(small("confirm"), "reset-told-as-never-run")
     try:
-        long = (
+        long_steps = (
             "ask 0",
             "wait",
             "notup c1.0",
@@ -68,9 +69,9 @@
             "reset c2.0",
             "end c2.0",
         )
-        steps = shrink(start, long, "run-is-run")
+        steps = shrink(factory, long_steps, "run-is-run")
         trace = Trace(small("confirm"), steps, "run-is-run", "", "reset-told-as-never-run")
-        assert len(steps) < len(long)
+        assert len(steps) < len(long_steps)
         assert Trace.from_json(trace.to_json()) == trace
         assert "resets the connection" in trace.report()
         assert "broken: run-is-run" in trace.report()
@@ -78,9 +79,9 @@
         path.write_text(trace.to_json())
     finally:
         mutations.plant("")
-    done = run_command("explore", "replay", str(path), "--chart", str(tmp_path / "chart.svg"))
-    assert done.returncode == 1, done.stderr
-    assert "broken: run-is-run" in done.stdout, done.stderr
+    result = run_command("explore", "replay", str(path), "--chart", str(tmp_path / "chart.svg"))
+    assert result.returncode == 1, result.stderr
+    assert "broken: run-is-run" in result.stdout, result.stderr
     assert "<svg" in (tmp_path / "chart.svg").read_text()
 
 
@@ -95,14 +96,14 @@
         ("nonsense",),
     ],
 )
-def test_arguments_that_cannot_be_used_end_with_2(arguments: tuple[str, ...]) -> None:
-    done = run_command(*arguments)
-    assert done.returncode == 2
-    assert done.stderr
-    assert "Traceback" not in done.stderr
+def test_unusable_arguments_end_with_status_2(arguments: tuple[str, ...]) -> None:
+    result = run_command(*arguments)
+    assert result.returncode == 2
+    assert result.stderr
+    assert "Traceback" not in result.stderr
 
 
-def test_the_demonstration_ends_well() -> None:
-    done = run_command("demo", "--requests", "80")
-    assert done.returncode == 0, done.stdout + done.stderr
-    assert "80 requests, 80 final answers, 0 pick-confirms run twice" in done.stdout
+def test_demo_answers_each_request_once() -> None:
+    result = run_command("demo", "--requests", "80")
+    assert result.returncode == 0, result.stdout + result.stderr
+    assert "80 requests, 80 final answers, 0 pick-confirms run twice" in result.stdout
--- a/tests/test_model_checker_search.py
+++ b/tests/test_model_checker_search.py
@@ -1,4 +1,4 @@
-"""The search of the model checker: reductions, processes and saved frontiers change no result."""
+"""Sleep sets, the number of processes and saved frontiers do not change the results of a search."""
 
 from __future__ import annotations
 
@@ -18,47 +18,47 @@
 
 
 @pytest.mark.parametrize(("name", "depth"), [("links", 6), ("confirm", 6), ("drain", 4), ("limits", 4)])
-def test_reduction_leaves_out_no_state_and_no_verdict(name: str, depth: int) -> None:
-    whole = explored(small(name, depth=depth), reduce=False, plain_set=True)
+def test_sleep_sets_leave_out_no_state_and_no_violation(name: str, depth: int) -> None:
+    unreduced = explored(small(name, depth=depth), reduce=False, plain_set=True)
     reduced = explored(small(name, depth=depth), reduce=True)
     assert (reduced.states, reduced.depth, violations_of(reduced)) == (
-        whole.states,
-        whole.depth,
-        violations_of(whole),
+        unreduced.states,
+        unreduced.depth,
+        violations_of(unreduced),
     )
-    assert reduced.transitions <= whole.transitions
+    assert reduced.transitions <= unreduced.transitions
 
 
-def test_reduction_takes_fewer_transitions_where_connections_come_up_together() -> None:
+def test_sleep_sets_save_transitions_where_connections_are_established_together() -> None:
     assert (
         explored(small("clients", depth=6)).transitions
         < explored(small("clients", depth=6), reduce=False).transitions
     )
 
 
-def test_breadth_depth_and_processes_agree() -> None:
-    one = small("confirm", depth=6)
-    alone, many = explored(one, processes=1), explored(one, processes=4)
-    assert (alone.states, alone.transitions, violations_of(alone)) == (
-        many.states,
-        many.transitions,
-        violations_of(many),
+def test_search_order_and_number_of_processes_do_not_change_the_states() -> None:
+    bounds = small("confirm", depth=6)
+    single, parallel = explored(bounds, processes=1), explored(bounds, processes=4)
+    assert (single.states, single.transitions, violations_of(single)) == (
+        parallel.states,
+        parallel.transitions,
+        violations_of(parallel),
     )
-    deep = search.depth_first(model_factory(one), one.depth)
-    assert deep.states == alone.states
+    deep = search.depth_first(model_factory(bounds), bounds.depth)
+    assert deep.states == single.states
     assert not deep.found
 
 
-def test_a_planted_fault_is_found_alike_by_one_process_and_by_four() -> None:
-    one = small("confirm", depth=6)
-    alone = explored(one, processes=1, seed="reset-told-as-never-run")
-    many = explored(one, processes=4, seed="reset-told-as-never-run")
-    assert violations_of(alone)
-    assert violations_of(alone)[0] == violations_of(many)[0]
-    assert {prop for _, prop in violations_of(alone)} == {prop for _, prop in violations_of(many)}
+def test_mutation_gives_the_same_violations_with_one_process_and_with_four() -> None:
+    bounds = small("confirm", depth=6)
+    single = explored(bounds, processes=1, mutation="reset-told-as-never-run")
+    parallel = explored(bounds, processes=4, mutation="reset-told-as-never-run")
+    assert violations_of(single)
+    assert violations_of(single)[0] == violations_of(parallel)[0]
+    assert {prop for _, prop in violations_of(single)} == {prop for _, prop in violations_of(parallel)}
 
 
-def test_a_frontier_is_read_wherever_its_classes_were_when_it_was_saved(tmp_path: Path) -> None:
+def test_frontier_saved_before_its_classes_moved_is_read(tmp_path: Path) -> None:
     entry, result = Entry(("ask 0",), ("decide",), frozenset({"wait"})), Result(states=2)
     violation = Found(("ask 0",), Violation("one-answer", "two"))
     result.found.append(violation)
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("state", [("key", [], {}, [Path("x")], None), ("key", []), 3])
-def test_a_frontier_of_another_form_is_refused(tmp_path: Path, state: object) -> None:
+def test_frontier_of_another_form_is_rejected(tmp_path: Path, state: object) -> None:
     body = pickle.dumps(state)
     path = tmp_path / "front"
     path.write_bytes(hashlib.blake2b(body, digest_size=16).digest() + body)
@@ -83,8 +83,8 @@
         Frontier.load(path, "key")
 
 
-def test_walks_hold_and_are_the_same_each_time() -> None:
-    one, other = mutation_run.random_walks(5, 2, 900), mutation_run.random_walks(5, 2, 900)
-    assert not one.found
-    assert one.steps > 1000
-    assert one.words == other.words
+def test_random_walks_find_no_violation_and_are_reproducible() -> None:
+    first, second = mutation_run.random_walks(5, 2, 900), mutation_run.random_walks(5, 2, 900)
+    assert not first.found
+    assert first.steps > 1000
+    assert first.step_counts == second.step_counts
