--- a/benchmarks/explore.py
+++ b/benchmarks/explore.py
@@ -12,7 +12,7 @@
 
 import numpy as np
 
-from edge_router.model_checker import mutation_run, mutations, search
+from edge_router.model_checker import explorations, mutations, search
 from edge_router.model_checker.copying import DeepCopy, Pickle, Replay, StateCopier, run
 from edge_router.model_checker.expander import WorkerPool
 from edge_router.model_checker.results import Result
@@ -27,8 +27,8 @@
 def _play(name: str, depth: int, processes: int = 1, **options: object) -> Result:
     with WorkerPool(processes) as workers:
         # A first run, so that the processes are up.
-        mutation_run.explore(named(SMALL, name).with_bounds(depth=2), workers, Options())
-        return mutation_run.explore(named(SMALL, name).with_bounds(depth=depth), workers, Options(**options))  # type: ignore[arg-type]
+        explorations.explore(named(SMALL, name).with_bounds(depth=2), workers, Options())
+        return explorations.explore(named(SMALL, name).with_bounds(depth=depth), workers, Options(**options))  # type: ignore[arg-type]
 
 
 def _rates(result: Result) -> str:
@@ -120,7 +120,7 @@
         print(f"  {processes} processes {_rates(result)}  {one / result.seconds:.2f} times as fast")
     if not short:
         print("Time to each seeded fault, on one core each:")
-        for caught in mutation_run.search_mutations(
+        for caught in explorations.search_mutations(
             [mutation.name for mutation in mutations.MUTATIONS], min(8, os.cpu_count() or 1)
         ):
             print(
--- a/edge_router/cli/explore.py
+++ b/edge_router/cli/explore.py
@@ -104,8 +104,8 @@
 ) -> None:
     """Explore a scope exhaustively."""
     from edge_router.model_checker.expander import WorkerPool
+    from edge_router.model_checker.explorations import explore_all
     from edge_router.model_checker.frontier import SavedFrontierError
-    from edge_router.model_checker.mutation_run import explore_all
     from edge_router.model_checker.scope import SCOPES, named
 
     try:
@@ -146,7 +146,7 @@
 @click.option("--processes", default=0, type=click.IntRange(0, 64), help="0: all cores, at most 8.")
 def seeded_command(only: tuple[str, ...], processes: int) -> None:
     """Plant mutations one after the other, and show which property finds each."""
-    from edge_router.model_checker.mutation_run import search_mutations
+    from edge_router.model_checker.explorations import search_mutations
     from edge_router.model_checker.mutations import MUTATIONS
 
     names = [mutation.name for mutation in MUTATIONS]
@@ -194,7 +194,7 @@
 @click.option("--traces", type=click.Path(path_type=Path, file_okay=False), help="Save counterexamples here.")
 def walk_command(walks: int, steps: int, seed: int, processes: int, traces: Path | None) -> None:
     """Walk at random beyond the bounds, from fixed seeds."""
-    from edge_router.model_checker.mutation_run import random_walks_in_parallel
+    from edge_router.model_checker.explorations import random_walks_in_parallel
     from edge_router.model_checker.results import Result
     from edge_router.model_checker.scope import WALK
 
--- a/edge_router/model_checker/reach.py
+++ b/edge_router/model_checker/reach.py
@@ -13,7 +13,7 @@
 import coverage
 
 import edge_router
-from edge_router.model_checker import mutation_run
+from edge_router.model_checker import explorations
 from edge_router.model_checker.expander import WorkerPool
 from edge_router.model_checker.properties import PROPERTIES
 from edge_router.model_checker.scope import SMALL, WALK
@@ -309,9 +309,9 @@
     try:
         with WorkerPool(1) as workers:
             for scope in SMALL:
-                mutation_run.explore(scope.with_bounds(depth=min(depth, scope.depth)), workers)
-            mutation_run.explore_channel(workers)
-        mutation_run.explore_codecs()
+                explorations.explore(scope.with_bounds(depth=min(depth, scope.depth)), workers)
+            explorations.explore_channel(workers)
+        explorations.explore_codecs()
         walks = Walks()
         for seed in range(WALKS):
             walk(model_factory(WALK), seed, WALK_STEPS, walks)
--- a/tests/model_checker_helpers.py
+++ b/tests/model_checker_helpers.py
@@ -5,7 +5,7 @@
 import subprocess
 import sys
 
-from edge_router.model_checker import mutation_run, mutations, scope
+from edge_router.model_checker import explorations, mutations, scope
 from edge_router.model_checker.expander import WorkerPool
 from edge_router.model_checker.results import Result
 from edge_router.model_checker.search import Options
@@ -30,7 +30,7 @@
 def explored(bounds: scope.Scope, processes: int = 4, mutation: str = "", **options: object) -> Result:
     """Explores a scope, with a mutation planted if one is named."""
     with WorkerPool(processes) as workers:
-        result = mutation_run.explore(bounds, workers, Options(**options), mutation)  # type: ignore[arg-type]
+        result = explorations.explore(bounds, workers, Options(**options), mutation)  # type: ignore[arg-type]
     mutations.plant("")
     return result
 
--- a/tests/test_model_checker_properties.py
+++ b/tests/test_model_checker_properties.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from edge_router.model_checker import mutation_run, mutations, scope
+from edge_router.model_checker import explorations, mutations, scope
 from edge_router.model_checker.properties import PROPERTIES
 from edge_router.model_checker.reach import HARD_CASES, HARD_STEPS
 from edge_router.model_checker.trace import Trace, model_factory
@@ -16,7 +16,7 @@
 
 
 def test_every_seeded_fault_is_found_and_every_property_broken_by_one() -> None:
-    found = mutation_run.search_mutations(
+    found = explorations.search_mutations(
         [mutation.name for mutation in mutations.MUTATIONS], min(8, os.cpu_count() or 1)
     )
     wrong = [
--- a/tests/test_model_checker_search.py
+++ b/tests/test_model_checker_search.py
@@ -9,7 +9,7 @@
 import pytest
 from model_checker_helpers import explored, small, violations_of
 
-from edge_router.model_checker import mutation_run, search
+from edge_router.model_checker import explorations, search
 from edge_router.model_checker.expander import Entry
 from edge_router.model_checker.frontier import Frontier, SavedFrontierError
 from edge_router.model_checker.machine import Violation
@@ -84,7 +84,7 @@
 
 
 def test_random_walks_find_no_violation_and_are_reproducible() -> None:
-    first, second = mutation_run.random_walks(5, 2, 900), mutation_run.random_walks(5, 2, 900)
+    first, second = explorations.random_walks(5, 2, 900), explorations.random_walks(5, 2, 900)
     assert not first.found
     assert first.steps > 1000
     assert first.step_counts == second.step_counts
