--- a/edge_router/cli/explore.py
+++ b/edge_router/cli/explore.py
@@ -118,8 +118,8 @@
 ) -> None:
     """Explore a scope, or a set of scopes, exhaustively."""
     from edge_router.model_checker.expander import WorkerPool
+    from edge_router.model_checker.explorations import explore_all
     from edge_router.model_checker.frontier import SavedFrontierError
-    from edge_router.model_checker.mutation_run import explore_all
     from edge_router.model_checker.scope import SCOPES, named
 
     try:
@@ -162,7 +162,7 @@
 )
 def seeded_command(only: tuple[str, ...], processes: int) -> None:
     """Plant each mutation in the router's code, and print which property it violates."""
-    from edge_router.model_checker.mutation_run import search_mutations
+    from edge_router.model_checker.explorations import search_mutations
     from edge_router.model_checker.mutations import MUTATIONS
 
     names = [mutation.name for mutation in MUTATIONS]
@@ -185,7 +185,7 @@
         table.add_row(
             result.name,
             found_by,
-            result.where or "-",
+            result.scope_name or "-",
             str(result.states),
             str(len(result.found.steps)) if result.found else "-",
             f"{result.seconds:.1f}",
@@ -223,7 +223,7 @@
 )
 def walk_command(walks: int, steps: int, seed: int, processes: int, traces: Path | None) -> None:
     """Run random walks beyond the bounds of the scopes; the same seeds give the same walks."""
-    from edge_router.model_checker.mutation_run import random_walks_in_parallel
+    from edge_router.model_checker.explorations import random_walks_in_parallel
     from edge_router.model_checker.results import Result
     from edge_router.model_checker.scope import WALK
 
@@ -231,7 +231,7 @@
     totals = random_walks_in_parallel(seed, walks, steps, _process_count(processes))
     _report_violations(WALK.name, Result(found=totals.found), (WALK,), traces)
     click.echo(
-        f"walks={totals.walks} steps={totals.steps} kinds={len(totals.words)} violations={len(totals.found)} "
+        f"walks={totals.walks} steps={totals.steps} kinds={len(totals.step_counts)} violations={len(totals.found)} "
         f"seconds={time.monotonic() - started_at:.1f}"
     )
     sys.exit(ExitStatus.VIOLATIONS if totals.found else ExitStatus.NO_VIOLATIONS)
