--- a/edge_router/decision/candidate_selector.py
+++ b/edge_router/decision/candidate_selector.py
@@ -16,7 +16,9 @@
 from edge_router.decision.placement import segment_key
 from edge_router.decision.popularity import Popularity
 
-HOT_FAIR_SHARE = 0.5  # of one cache's fair share; an object uses one more cache for each such part
+# A cache's fair share is 1 / caches of the requested bytes. A segment of an object uses one more cache for
+# each full half of a fair share that it receives.
+HOT_FAIR_SHARE = 0.5
 
 
 class CandidateSelector:
@@ -29,10 +31,11 @@
         self._popularity = popularity
 
     def caches(self, now: float, pending: PendingRequest) -> Iterator[EndpointId]:
-        """The home cache, then the others in hash order, without those whose link is congested.
+        """The available caches in hash order, the home cache first, without those whose link is congested.
 
-        The first caches of a hot object are ordered by load instead, which spreads it over them. If no cache
-        is both available and untried, all caches are candidates, those already tried last.
+        Available are the caches that the request has not tried and that accept its key; those that share a
+        hot object are ordered by load instead. If all of them are congested, there is no candidate. If no
+        cache is available, all are candidates, also congested ones; those already tried come last.
         """
         key, directory = segment_key(pending.request), self._directory
         ranked = directory.caches.ranked(key)
@@ -58,7 +61,7 @@
         return sorted(loads, key=relative_load)
 
     def _spread(self, object_key: int, caches: int) -> int:
-        """The number of caches that an object uses, by its part of the traffic."""
+        """The number of caches that share each segment of an object; more than 1 if the object is hot."""
         if self._popularity.is_warming_up() or not self._popularity.in_top_set(object_key):
             return 1
         return 1 + int(self._popularity.byte_share(object_key) * caches / HOT_FAIR_SHARE)
--- a/edge_router/decision/endpoint_directory.py
+++ b/edge_router/decision/endpoint_directory.py
@@ -48,7 +48,10 @@
         self._sort_by_role()
 
     def update(self, event: EndpointListUpdate) -> None:
-        """Applies a full list or a change; drops the state of endpoints that were removed or restarted."""
+        """Applies a full list or a change.
+
+        Drops the outlier detectors of removed and restarted endpoints, and the charges of removed ones.
+        """
         before = self.endpoints
         if event.kind is not UpdateKind.DELTA:
             self.endpoints = {}
@@ -99,16 +102,16 @@
         return cache.is_available(now) and source.is_available(now)
 
     def start_trials(self, now: float, cache_id: EndpointId, source_id: EndpointId) -> None:
-        """Records that an attempt is sent; it is the trial of an endpoint whose ejection has just ended."""
+        """Records that an attempt is sent; it is the only trial of an endpoint whose ejection has ended."""
         self.cache_outliers[cache_id].start_trial(now, self._ejection_time)
         self.source_outliers[source_id].start_trial(now, self._ejection_time)
 
     def cache_failed(self, now: float, cache_id: EndpointId, sent_at: float, score: float = 1) -> bool:
-        """Records a failed attempt at a cache; True if this ejects the cache."""
+        """Records a failed attempt at a cache; True if its failures reach `EJECTION_SCORE` with this one."""
         return self.cache_outliers[cache_id].record_failure(now, sent_at, self._ejection_time, score)
 
     def source_failed(self, now: float, source_id: EndpointId, sent_at: float) -> bool:
-        """Records a failed fill from a source; True if this ejects the source."""
+        """Records a failed fill from a source; True if its failures reach `EJECTION_SCORE` with this one."""
         return self.source_outliers[source_id].record_failure(now, sent_at, self._ejection_time, 1)
 
 
--- a/edge_router/decision/link_load.py
+++ b/edge_router/decision/link_load.py
@@ -23,7 +23,7 @@
     """The load of one router on one link; the work of a transfer is its duration at full speed."""
 
     capacity: float  # this router's share, in concurrent transfers; infinite while unknown
-    headroom: float  # transfers beyond the capacity, for random variation, while nothing is slowed down
+    headroom: float  # transfers beyond the capacity at slowdown 1; falls to none at slowdown 2
     shortest_objective: float
     in_flight: int = 0
     in_flight_work: float = 0.0
@@ -33,13 +33,14 @@
 
     @classmethod
     def from_share(cls, transfers: float, share: float, shortest_objective: float) -> LinkLoad:
-        """Creates the load of a link that sustains `transfers` at once, of which this router has `share`.
+        """Creates the load of a link that sustains `transfers` at once; this router's `share` is 0 to 1.
 
-        With 0 transfers the capacity is unknown until it is learned.
+        The capacity is at least 1. With 0 transfers it is unknown, and infinite until it is learned.
         """
         if transfers <= 0:
             return cls(math.inf, 0.0, shortest_objective)
         own = transfers * share
+        # The variance of a binomial distribution: each transfer is this router's with probability `share`.
         headroom = HEADROOM_DEVIATIONS * math.sqrt(own * (1 - share))
         return cls(max(1.0, own), headroom, shortest_objective)
 
@@ -66,7 +67,10 @@
         self.updated_at = now
 
     def update_capacity(self, concurrent: int, slowdown: float) -> None:
-        """Learns a capacity that is not configured from the slowdown of one of `concurrent` transfers."""
+        """Learns an unknown capacity, or corrects a known one, from one of `concurrent` transfers.
+
+        `slowdown` is the factor by which that transfer was slowed down.
+        """
         observed = max(1.0, concurrent / max(slowdown, 1.0))
         if self.capacity == math.inf:
             self.capacity = observed if slowdown >= MIN_MEASURABLE_SLOWDOWN and concurrent > 1 else math.inf
--- a/edge_router/decision/link_loads.py
+++ b/edge_router/decision/link_loads.py
@@ -14,8 +14,9 @@
 from edge_router.decision.pending_request import AttemptRecord, PendingRequest
 from edge_router.decision.settings import Settings
 
-# Parts of the latency objective: a link is congested if sending would take longer. The first limit is
-# approached with many routers in the zone, the second holds for a single one.
+# Parts of a request's latency objective: a link is congested if sending the response would take longer, on
+# the zone link together with the expected wait for a fill. The first limit is approached with many routers in
+# the zone, the second holds for a single one.
 CONGESTED_SHARED, CONGESTED_ALONE = 0.65, 0.8
 MAX_FILL_SLOWDOWN = 3.0  # a single fill is recorded with no greater slowdown
 FILL_WAIT_LEARNING_RATE = 0.1  # weight of one observation of the wait for the first byte of a fill
@@ -58,8 +59,9 @@
     def transfers_and_share(self, endpoint: Endpoint) -> tuple[float, float]:
         """The concurrent transfers that the endpoint sustains, and this router's share of them (0 to 1).
 
-        The transfers are the endpoint's weight or, without weights, its part of the links that it feeds; they
-        are 0 if neither is configured.
+        The transfers are the endpoint's weight. Where weights are not used or it is not positive, they are a
+        parent's equal part of all zone links, or a cache's equal part of the own zone's link, among the ready
+        endpoints; an origin counts as a cache. They are 0 if the bandwidths are unknown.
         """
         settings = self._settings
         if endpoint.role == settings.parent_role:
@@ -91,10 +93,10 @@
         duration = pending.work * self.for_endpoint(endpoint_id).expected_slowdown(now)
         return duration > self._congestion_threshold * pending.latency_objective
 
-    def zone_link_is_congested(self, now: float, pending: PendingRequest) -> bool:
+    def check_zone_link_congestion(self, now: float, pending: PendingRequest) -> bool:
         """Whether the response would come too late if the object had to be filled.
 
-        If so, the expected wait is reduced a little, so that later requests try a fill again.
+        If so, reduces the expected wait a little, so that later requests try a fill again.
         """
         duration = self.fill_wait + pending.work * self.zone_link.expected_slowdown(now)
         congested = duration > self._congestion_threshold * pending.latency_objective
@@ -129,13 +131,16 @@
         self.fill_wait += FILL_WAIT_LEARNING_RATE * (pending.latency_objective - self.fill_wait)
 
     def record_hit(self, now: float, attempt: AttemptRecord, work: float, duration: float) -> None:
-        """Records the transfer of a cached copy, and learns the capacity of a cache without a weight."""
+        """Records the transfer of a cached copy; without weights, learns the cache's capacity."""
         attempt.cache_load.record_transfer(now, duration, work)
         if not self._settings.endpoints_weighted and work > 0:
             attempt.cache_load.update_capacity(attempt.concurrent_attempts, duration / work)
 
     def record_fill(self, now: float, attempt: AttemptRecord, work: float, event: AttemptEnded) -> None:
-        """Records a fill; each link on its path gets the slowdown that the other links don't explain."""
+        """Records a fill; each link on its path gets the slowdown that the other links don't explain.
+
+        Learns the capacity of the zone link if its bandwidth is unknown.
+        """
         self.fill_wait += FILL_WAIT_LEARNING_RATE * (event.fill_wait - self.fill_wait)
         duration = min(max(work, event.duration - event.fill_wait), MAX_FILL_SLOWDOWN * work)
         if self._zone_link_transfers <= 0 and work > 0:
--- a/edge_router/decision/outcome_recorder.py
+++ b/edge_router/decision/outcome_recorder.py
@@ -16,7 +16,8 @@
 from edge_router.decision.pending_request import AttemptRecord, PendingRequest
 from edge_router.decision.popularity import Popularity
 
-SOURCE_FAULTS = frozenset(
+# The cache has answered, but its fill failed at the source or the origin.
+FAILED_FILLS = frozenset(
     (
         FillResult.SOURCE_REFUSED,
         FillResult.SOURCE_FAILED,
@@ -37,7 +38,7 @@
         copies: CopyTracker,
         report: Callable[[LogMessage], None],
     ) -> None:
-        """`report` is called with a log message for each endpoint that is ejected."""
+        """`report` is called with a log message when the failures of an endpoint reach `EJECTION_SCORE`."""
         self._directory = directory
         self._loads = loads
         self._popularity = popularity
@@ -53,10 +54,10 @@
             self._loads.record_origin_fetch(now, result == FillResult.FILLED_BY_ORIGIN)
         if event.outcome is Outcome.OK:
             self._record_success(now, pending, attempt, event)
-        elif result in SOURCE_FAULTS:
-            self._record_source_fault(now, pending, attempt, result)
+        elif result in FAILED_FILLS:
+            self._record_failed_fill(now, pending, attempt, result)
         else:
-            self._record_cache_fault(now, pending, attempt, event.outcome)
+            self._record_failed_attempt(now, pending, attempt, event.outcome)
 
     def _record_success(
         self, now: float, pending: PendingRequest, attempt: AttemptRecord, event: AttemptEnded
@@ -72,9 +73,13 @@
             self._loads.record_fill(now, attempt, pending.work, event)
             self._directory.source_outliers[attempt.source_id].record_success(now)
 
-    def _record_source_fault(
+    def _record_failed_fill(
         self, now: float, pending: PendingRequest, attempt: AttemptRecord, result: int
     ) -> None:
+        """Counts SOURCE_FAILED against the source; all failed fills count as a success of the cache.
+
+        Further attempts of the request prefer other parents.
+        """
         pending.failed_sources.add(attempt.source_id)
         if result != FillResult.SOURCE_MISS:
             self._loads.record_failed_fill(pending)
@@ -82,16 +87,20 @@
         if result == FillResult.SOURCE_FAILED:
             self._source_failed(now, attempt)
 
-    def _record_cache_fault(
+    def _record_failed_attempt(
         self, now: float, pending: PendingRequest, attempt: AttemptRecord, outcome: Outcome
     ) -> None:
+        """Counts a failed connection, an error or a reset against the cache.
+
+        MISS and OVERLOADED are no faults of the cache; `record_overdue` counts its silence.
+        """
         if outcome is Outcome.CONNECT_FAILED:
             self._cache_failed(now, attempt, EJECTION_SCORE)
         elif outcome is Outcome.ERROR:
             self._cache_failed(now, attempt)
         elif outcome is Outcome.RESET:
             cache = self._directory.cache_outliers[attempt.endpoint_id]
-            if cache.is_new_reset(now, attempt.sent_at):
+            if cache.record_reset(now, attempt.sent_at):
                 self._cache_failed(now, attempt, RESET_SCORE)
             if cache.is_available(now):
                 # A retry may go to the same cache, which may already hold the object, unlike the next one.
--- a/edge_router/decision/outlier_detection.py
+++ b/edge_router/decision/outlier_detection.py
@@ -33,9 +33,10 @@
         self.ejected_until = -math.inf
 
     def record_failure(self, now: float, sent_at: float, ejection_time: float, score: float = 1.0) -> bool:
-        """Records that an attempt sent at `sent_at` failed or is overdue; True if this ejects the endpoint.
+        """Records that an attempt sent at `sent_at` failed or is overdue.
 
-        An attempt sent before the last success doesn't count.
+        Returns True if the failures reach `EJECTION_SCORE` with this one; a failure that starts the ejection
+        again after its end returns False. An attempt sent before the last success doesn't count.
         """
         if sent_at <= self.last_success:
             return False
@@ -45,7 +46,7 @@
             self.ejected_until = now + ejection_time
         return score_before < EJECTION_SCORE <= self.failure_score
 
-    def is_new_reset(self, now: float, sent_at: float) -> bool:
+    def record_reset(self, now: float, sent_at: float) -> bool:
         """Records a reset connection; False if the attempt was sent before the last recorded reset.
 
         A reset ends all attempts on its connection, and must count only once.
@@ -60,7 +61,11 @@
         return now >= self.ejected_until
 
     def start_trial(self, now: float, ejection_time: float) -> None:
-        """Records that an attempt is sent; if it is the trial, the endpoint stays ejected for the others."""
+        """Records that an attempt is sent.
+
+        If the endpoint's failures still reach `EJECTION_SCORE`, it is ejected again for `ejection_time`, so
+        that this attempt is the only trial.
+        """
         if self.failure_score >= EJECTION_SCORE:
             self.ejected_until = now + ejection_time
 
--- a/edge_router/decision/policy.py
+++ b/edge_router/decision/policy.py
@@ -157,7 +157,7 @@
         pending.avoids_origin = cacheable and (
             self._random.random() * self.loads.origin.slowdown(now) > MAX_ORIGIN_SLOWDOWN
         )
-        cached_only = cacheable and (cached_only or self.loads.zone_link_is_congested(now, pending))
+        cached_only = cacheable and (cached_only or self.loads.check_zone_link_congestion(now, pending))
         if pending.missed and (cached_only or pending.avoids_origin):
             pending.rejection_reason = RejectionReason.LINK if cached_only else RejectionReason.ORIGIN
             return False
--- a/edge_router/model_checker/reach.py
+++ b/edge_router/model_checker/reach.py
@@ -79,7 +79,7 @@
     ("decision/copy_tracker.py", "has_copy|record", "load of a crowded link; the bench's days play it"),
     (
         "decision/link_loads.py",
-        "is_congested|zone_link_is_congested",
+        "is_congested|check_zone_link_congestion",
         "load of a crowded link; the bench's days play it",
     ),
     (
