--- a/edge_router/decision/messages.py
+++ b/edge_router/decision/messages.py
@@ -25,10 +25,10 @@
 class UpdateKind(IntEnum):
     """What an update of the endpoint list contains."""
 
-    DELTA = 0
-    FULL = 1
-    CACHED = 2
-    FAILED = 3
+    DELTA = 0  # only the endpoints that changed
+    FULL = 1  # the whole list
+    CACHED = 2  # the whole list; if lists are polled, the policy subscribes to changes
+    FAILED = 3  # no list is available; the policy ignores the update
 
 
 class Outcome(IntEnum):
@@ -49,21 +49,25 @@
 class FillResult(IntEnum):
     """Where the response came from, or why the fill failed."""
 
-    NONE = 0
-    HIT = 1
-    FILLED = 2
-    FILLED_BY_ORIGIN = 3
-    COALESCED = 4
-    STALE_COPY = 5
-    SOURCE_REFUSED = 6
-    SOURCE_FAILED = 7
-    SOURCE_MISS = 8
-    NO_FILL_SLOT = 9
-    ORIGIN_FAILED = 10
+    NONE = 0  # the cache does not say
+    HIT = 1  # the cache had a copy
+    FILLED = 2  # filled from the source's copy
+    FILLED_BY_ORIGIN = 3  # fetched from the origin, directly or through the source
+    COALESCED = 4  # waited for a fill that another request had started
+    STALE_COPY = 5  # the cache had a copy past its freshness lifetime
+    SOURCE_REFUSED = 6  # the source refused the fill
+    SOURCE_FAILED = 7  # the source failed
+    SOURCE_MISS = 8  # the source has no copy
+    NO_FILL_SLOT = 9  # the cache already fills as many objects as it can
+    ORIGIN_FAILED = 10  # the fetch from the origin failed
 
 
 class Endpoint(NamedTuple):
-    """One entry of the endpoint list."""
+    """One entry of the endpoint list.
+
+    `weight` is the number of concurrent transfers at full bandwidth that the endpoint sustains, and also its
+    weight in the rendezvous hash; it is unknown if it is not positive. The settings may say to ignore it.
+    """
 
     endpoint_id: EndpointId
     role: int
@@ -99,6 +103,7 @@
     `attempt_index` counts the attempts of the request from 0, in the order in which they were started.
     `fill_result` is a `FillResult`, or another number if the cache sends an unknown one. `fill_wait` is how
     long the fill waited for its first byte. `load_report` has the values of `Settings.load_report_fields`.
+    `request_closed`: the request has its final answer, or its client has disconnected.
     """
 
     request_number: int
@@ -164,10 +169,10 @@
 class FillMode(IntEnum):
     """Flags that control how a cache fills on a miss."""
 
-    COALESCE = 1
-    CACHED_ONLY = 2
-    NO_PARENT_CACHING = 4
-    BACKGROUND_REFRESH = 8
+    COALESCE = 1  # the request may wait for a fill that another one has started
+    CACHED_ONLY = 2  # the object must not be fetched from the origin; a parent's copy may be used
+    NO_PARENT_CACHING = 4  # the parent must not keep a copy; the policy does not set it
+    BACKGROUND_REFRESH = 8  # the copy may be refreshed in the background
 
 
 class StartAttempt(NamedTuple):
--- a/edge_router/simulator_adapter.py
+++ b/edge_router/simulator_adapter.py
@@ -44,8 +44,9 @@
 _OUTCOMES = {int(outcome): outcome for outcome in messages.Outcome}
 _ENDPOINT_STATES = {int(state): state for state in messages.EndpointState}
 _UPDATE_KINDS = {int(kind): kind for kind in messages.UpdateKind}
-_LIST_CODE, _STOP_CODE, _LAUNCH_CODE, _PEER_CODE = 30, 50, 70, 90
-_LOG_CODE, _ERROR_CODE = 50, 100
+# The codes of events and those of actions are two separate sets; the same number may be in both.
+_LIST_CODE, _STOP_CODE, _LAUNCH_CODE, _PEER_CODE = 30, 50, 70, 90  # events
+_LOG_CODE, _ERROR_CODE = 50, 100  # actions
 _MAX_TEXT_BYTES = 60_000
 _ERROR_LINES = 6  # lines of a traceback that an error record contains
 
@@ -138,6 +139,7 @@
     )
 
 
+# By event code.
 _READERS: dict[int, Callable[[bytes, int], tuple[int, messages.Event, int]]] = {
     10: _read_purge,
     20: _read_timer_fired,
@@ -151,6 +153,7 @@
 
 
 def _write_start_attempt(instance: int, action: messages.StartAttempt) -> bytes:
+    # The record has no field for `start_before`, which only the edge router checks.
     endpoint_id, source_id = action.endpoint_id, action.source_id
     return _START_ATTEMPT.pack(
         80,
@@ -172,6 +175,7 @@
     return _TEXT.pack(code, instance, len(data)) + data
 
 
+# By type of action; the first number packed is the action code.
 _WRITERS: dict[type, Callable[[int, Any], bytes]] = {
     messages.StartAttempt: _write_start_attempt,
     messages.CancelAttempt: lambda instance, action: _CANCEL_ATTEMPT.pack(
@@ -228,8 +232,9 @@
         return end
 
     def handle_batch(self, now: float, count: int, body: bytes) -> bytes:
-        """Returns the reply to a batch of `count` records; an exception of a policy becomes an error record.
+        """Returns the reply to a batch of `count` records.
 
+        An exception of a policy becomes an error record, and the rest of the batch is dropped.
         Raises MalformedInputError if a record cannot be read.
         """
         out: list[bytes] = []
@@ -239,6 +244,8 @@
             try:
                 at = self._handle_record(now, body, at, out)
             except (struct.error, IndexError) as error:
+                # If the batch is cut short, `unpack_from` fails or the record starts past the body's end.
+                # Other errors of these types come from the policy or from packing its actions.
                 if start >= len(body) or "unpack" in str(error):
                     raise MalformedInputError(f"a record is cut short: {error}") from error
                 out.append(self._error_record(body, start))
