--- a/edge_router/decision/candidate_selector.py
+++ b/edge_router/decision/candidate_selector.py
@@ -61,7 +61,11 @@
         return sorted(loads, key=relative_load)
 
     def _spread(self, object_key: int, caches: int) -> int:
-        """The number of caches that share each segment of an object; more than 1 if the object is hot."""
+        """The number of caches that share each segment of an object.
+
+        It is more than 1 for a hot object: one in the top set whose segments receive, on average, at least
+        `HOT_FAIR_SHARE` of a cache's fair share.
+        """
         if self._popularity.is_warming_up() or not self._popularity.in_top_set(object_key):
             return 1
         return 1 + int(self._popularity.byte_share(object_key) * caches / HOT_FAIR_SHARE)
--- a/edge_router/decision/slow_start.py
+++ b/edge_router/decision/slow_start.py
@@ -37,7 +37,8 @@
     ) -> None:
         """`initial_capacity` is the part (0 to 1) of its full capacity that an endpoint has when it starts.
 
-        It fails if it gets more than `overload_factor` times its capacity within `overload_window` (ms).
+        It fails if the work sent to it within `overload_window` exceeds `overload_factor` times the work that
+        it can do in that time.
         """
         self._initial_capacity = initial_capacity
         self._duration = duration
