--- a/edge_router/cli/explore.py
+++ b/edge_router/cli/explore.py
@@ -231,8 +231,8 @@
     totals = random_walks_in_parallel(seed, walks, steps, _process_count(processes))
     _report_violations(WALK.name, Result(found=totals.found), (WALK,), traces)
     click.echo(
-        f"walks={totals.walks} steps={totals.steps} kinds={len(totals.step_counts)} violations={len(totals.found)} "
-        f"seconds={time.monotonic() - started_at:.1f}"
+        f"walks={totals.walks} steps={totals.steps} kinds={len(totals.step_counts)} "
+        f"violations={len(totals.found)} seconds={time.monotonic() - started_at:.1f}"
     )
     sys.exit(ExitStatus.VIOLATIONS if totals.found else ExitStatus.NO_VIOLATIONS)
 
--- a/edge_router/model_checker/reach.py
+++ b/edge_router/model_checker/reach.py
@@ -85,7 +85,7 @@
     ),
     (
         "decision/link_loads.py",
-        "is_congested|zone_link_is_congested",
+        "is_congested|check_zone_link_congestion",
         "the load of a congested link, which the operators' bench plays",
     ),
     (
@@ -110,7 +110,7 @@
     ),
     (
         "decision/policy.py",
-        "_try_send|_may_send|_charge_slow_start|_new_attempt|_max_copy_age|_fill_mode",
+        "_try_send|_may_send|_charge_slow_start|_new_attempt|_acceptable_copy_age|_fill_mode",
         "used-up slow-start budgets, settings without hedged requests, stale lifetimes",
     ),
     ("decision/policy.py", "_on_attempt_ended", "events that come too late, which the proxy never sends"),
