--- a/edge_router/model_checker/fingerprint/peers.py
+++ b/edge_router/model_checker/fingerprint/peers.py
@@ -122,7 +122,7 @@
     attempts = tuple(_attempt(attempt, frame) for attempt in request.attempts)
     history = (
         tuple(request.ended_attempts),
-        request.ordered_attempts,
+        request.started_attempts,
         tuple(sorted(request.status_codes.items())),
     )
     return (request_id, request.state.value, frame.time(request.deadline), attempts, history)
--- a/edge_router/model_checker/model/harness.py
+++ b/edge_router/model_checker/model/harness.py
@@ -263,5 +263,5 @@
             if isinstance(action, StartAttempt) and (
                 request_id := harness.request_id_of(action.request_number)
             ):
-                harness.observer.attempt_ordered(request_id)
+                harness.observer.attempt_started(request_id)
         return actions
--- a/edge_router/model_checker/model_settings.py
+++ b/edge_router/model_checker/model_settings.py
@@ -6,7 +6,7 @@
 
 from edge_router.decision.settings import ClassSettings, DeduplicationScope, Idempotency, Settings
 
-# Times are short, so that few alarms fall between a request and its end: only their order matters.
+# Only the order of times matters here. They are short, so that few timers fire before a request ends.
 DEADLINE = 400.0  # milliseconds
 _IMAGE = ClassSettings(
     name="image",
@@ -42,12 +42,12 @@
 _PAGE = replace(_IMAGE, name="page", freshness_lifetime=300.0)
 CLASSES = {each.name: each for each in (_IMAGE, _CONFIRM, _STOCK, _PAGE)}
 CLASS_ORDER = tuple(CLASSES)
-CACHE, PARENT, ORIGIN = range(3)
-PURGE_SETTLE_TIME = 800.0
+CACHE, PARENT, ORIGIN = range(3)  # roles of endpoints
+PURGE_SETTLE_TIME = 800.0  # milliseconds
 
 
 def model_settings(max_attempts: int, cancellation_allowed: bool = True) -> Settings:
-    """The settings of every scope: one zone with caches, a parent and an origin elsewhere."""
+    """Returns the settings of every scope: caches in the router's zone, parents and origins in another."""
     return Settings(
         classes=tuple(CLASSES.values()),
         zone=1,
--- a/edge_router/model_checker/observations.py
+++ b/edge_router/model_checker/observations.py
@@ -1,4 +1,4 @@
-"""What the observer of the properties has seen of requests, attempts, copies and purges."""
+"""Records of the requests, attempts, copies and purges that the observer of the properties has seen."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 
 class RequestState(StrEnum):
-    """Where a request is, as its client sees it."""
+    """The state of a request as its client sees it; the values are part of the fingerprint."""
 
     OPEN = "open"
     ANSWERED = "answered"
-    CLIENT_DISCONNECTED = "left"  # its client has stopped waiting
-    OVERDUE = "lost"  # it was reported as overdue
+    CLIENT_DISCONNECTED = "left"  # its client no longer waits
+    OVERDUE = "lost"  # a violation was recorded since it is unanswered after its deadline
 
 
 class ResponseKind(StrEnum):
     """The kind of answer that a client has received."""
 
     SERVED = "served"
-    NOT_MODIFIED = "unchanged"  # the client's own copy is still good
+    NOT_MODIFIED = "unchanged"  # the client's own copy is still valid
     REJECTED = "refused"
     FAILED = "failed"
 
@@ -31,18 +31,18 @@
     number: int
     endpoint_id: int
     sent_at: float  # Unix milliseconds
-    known_purges: int = 0  # how many purges the router had been notified of before
-    not_run: bool = False  # the cache itself said that it did not run the request
+    known_purges: int = 0  # number of purges that the router had been notified of before
+    not_run: bool = False  # the response of the cache says that it did not run the request
     ended: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class ObservedCopy:
-    """The copy in an answer that has reached the router. Times are Unix milliseconds."""
+    """A copy in a response that has reached the router. Times are Unix milliseconds."""
 
     created_at: float
-    sent_at: float  # the first byte of the attempt
-    known_purges: int
+    sent_at: float  # when the first byte of the attempt was written
+    known_purges: int  # as in `ObservedAttempt`
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,13 +63,13 @@
     deadline: float  # Unix milliseconds by which it must be answered
     state: RequestState = RequestState.OPEN
     attempts: list[ObservedAttempt] = field(default_factory=list)
-    # The attempts whose end the decision module was notified of.
+    # The numbers of the attempts whose end the decision module was notified of.
     ended_attempts: list[int] = field(default_factory=list)
-    ordered_attempts: int = 0
-    copies: dict[bytes, ObservedCopy] = field(default_factory=dict)  # by the body of the answer
-    # By attempt: the code of the answer that reached the router.
+    started_attempts: int = 0  # by the decision module
+    copies: dict[bytes, ObservedCopy] = field(default_factory=dict)  # by the body of the response
+    # By attempt number: the code of the first response that reached the router.
     status_codes: dict[int, str] = field(default_factory=dict)
 
     def attempt(self, number: int) -> ObservedAttempt | None:
-        """The attempt of that number, if its first byte was seen."""
+        """Returns the attempt of that number, or None if its first byte was not seen."""
         return next((attempt for attempt in self.attempts if attempt.number == number), None)
