--- a/edge_router/model_checker/fingerprint/__init__.py
+++ b/edge_router/model_checker/fingerprint/__init__.py
@@ -1,10 +1,11 @@
-"""A state of the router model in a canonical form, from which its fingerprint is made.
+"""Encodes a state of the router model in a canonical form, from which its fingerprint is computed.
 
-Times are relative to the present, requests are named by their place in the scope, and connections by endpoint
-and order, so that runs which differ in those names alone give the same state. Each area of the core has a
-module with its encoders and its part of the ledger: the fields of each class that are encoded, and those left
-out, with the reason. A class with a field that the ledger does not list is refused (`check_fields`), since a
-field that was forgotten would merge states that differ.
+Times are relative to the present. Requests are named by their position in the scope, and connections by their
+endpoint and order. Thus runs that differ only in those names lead to the same state.
+
+Each area of the core has a module with its encoders and its part of the ledger. The ledger lists, for each
+class, the fields that are encoded, and those that are left out, with the reason. `check_fields` reports each
+field that the ledger does not list, since states that differ in it would count as one.
 """
 
 from __future__ import annotations
@@ -13,13 +14,13 @@
 
 import xxhash
 
-from edge_router.model_checker.fingerprint.common import Frame, Ledger, fields_of
-from edge_router.model_checker.fingerprint.decision import DECISION, encode_director
+from edge_router.model_checker.fingerprint.common import Ledger, ReferenceFrame, fields_of
+from edge_router.model_checker.fingerprint.decision import DECISION, encode_policy
 from edge_router.model_checker.fingerprint.peers import (
     PEERS,
+    encode_cache_channel,
+    encode_environment,
     encode_observer,
-    encode_server,
-    encode_surroundings,
 )
 from edge_router.model_checker.fingerprint.proxy import PROXY, encode_proxy
 from edge_router.model_checker.fingerprint.transport import TRANSPORT, encode_timers
@@ -28,44 +29,44 @@
 LEDGER: Ledger = {**DECISION, **PROXY, **TRANSPORT, **PEERS}
 
 
-def check_fields(things: list[object]) -> list[str]:
-    """One message for each field of these objects that the ledger does not list."""
+def check_fields(objects: list[object]) -> list[str]:
+    """Returns a message for each field of these objects that the ledger does not list."""
     unknown = []
-    for thing in things:
+    for each in objects:
         known: set[str] = set()
-        for cls in type(thing).__mro__:
+        for cls in type(each).__mro__:
             if cls in LEDGER:
                 known |= LEDGER[cls].names()
         unknown += [
-            f"{type(thing).__name__}.{name} is not in the ledger of the fingerprint"
-            for name in sorted(fields_of(thing) - known)
+            f"{type(each).__name__}.{name} is not in the ledger of the fingerprint"
+            for name in sorted(fields_of(each) - known)
         ]
     return unknown
 
 
 def fingerprint(data: bytes) -> int:
-    """A hash of 64 bits. Two of n states share one by chance with a probability of n * n / 2 ** 65."""
+    """Returns a hash of 64 bits. Any two of n states share one with a probability of n * n / 2 ** 65."""
     return xxhash.xxh3_64_intdigest(data)
 
 
 def encode_state(state: ModelState) -> bytes:
-    """The canonical form of the whole state."""
+    """Encodes the whole state in its canonical form."""
     harness = state.harness
-    frame = Frame(harness.now, harness.router.requests)
-    servers = [encode_server(channel, harness, frame) for channel in harness.channels]
+    frame = ReferenceFrame(harness.now, harness.router.requests)
+    channels = [encode_cache_channel(channel, harness, frame) for channel in harness.channels]
     encoded = (
         encode_proxy(harness.router, harness.budget, frame),
-        tuple(sorted(servers, key=lambda server: server[0])),
+        tuple(sorted(channels, key=lambda channel: channel[0])),
         encode_timers(harness.timers, harness.monotonic_now, frame),
-        encode_director(harness.router._policy, frame),
-        encode_surroundings(state, frame),
+        encode_policy(harness.router._policy, frame),
+        encode_environment(state, frame),
         encode_observer(harness.observer, harness.router, frame),
     )
     return marshal.dumps(encoded, 2)
 
 
 def all_parts(state: ModelState) -> list[object]:
-    """The objects of the state whose classes the ledger lists, to check their fields."""
+    """Returns the objects of the state whose classes the ledger lists, for `check_fields`."""
     harness, session = state.harness, state.clients.session
     router = harness.router
     policy = router._policy
--- a/edge_router/model_checker/fingerprint/common.py
+++ b/edge_router/model_checker/fingerprint/common.py
@@ -1,4 +1,4 @@
-"""What the encoders of all areas share: the ledger's form, the reasons, and relative times and numbers."""
+"""Shared by the encoders of all areas: the ledger's type, common reasons, and relative times and names."""
 
 from __future__ import annotations
 
@@ -8,62 +8,64 @@
 from edge_router.decision.messages import Endpoint
 from edge_router.proxy.request_table import ActiveRequest
 
-WIRING = "points to another part that is encoded on its own, and never changes"
-FIXED = "set once from the settings"
-REPORTED = "only reported to people, never read by the router"
-DERIVED = "follows from what is encoded"
+REFERENCE = "a reference that never changes, to an object that is encoded separately"
+FIXED = "set once, from the settings"
+REPORTED = "only reported in the log or the statistics; no decision depends on it"
+DERIVED = "determined by fields that are encoded"
 
 
 class Fields(NamedTuple):
-    """The fields of one class of the core."""
+    """The ledger's entry for one class of the core."""
 
-    encoded: str  # names, separated by spaces
+    encoded: str  # names of fields, separated by spaces
     left_out: dict[str, str]  # by name: the reason why the fingerprint leaves it out
 
     def names(self) -> set[str]:
-        """All fields that are known."""
+        """Returns the names of all listed fields."""
         return {*self.encoded.split(), *self.left_out}
 
 
 Ledger = dict[type, Fields]
 
 
-def fields_of(thing: object) -> set[str]:
-    """The names of an object's fields, with or without slots."""
-    names = set(getattr(thing, "__dict__", ()))
-    for cls in type(thing).__mro__:
+def fields_of(instance: object) -> set[str]:
+    """Returns the names of an object's fields, whether in slots or in its dictionary."""
+    names = set(getattr(instance, "__dict__", ()))
+    for cls in type(instance).__mro__:
         names.update(getattr(cls, "__slots__", ()))
     return names
 
 
 def rounded(value: float) -> float:
-    """A quantity without the noise of its last digits, and without a negative zero."""
+    """Rounds off the last digits, where rounding errors would make states differ, and a negative zero."""
     return round(value, 4) + 0.0
 
 
-class Frame:
-    """The names that an encoding is relative to: the present, and the places of requests in the scope."""
+class ReferenceFrame:
+    """The present time and the positions of requests in the scope, which an encoding is relative to."""
 
     def __init__(self, now: float, requests: Iterable[ActiveRequest]) -> None:
         self.now = now  # Unix milliseconds
-        self._places = {request.request_number: int(request.incoming.request_id, 16) for request in requests}
+        self._positions = {
+            request.request_number: int(request.incoming.request_id, 16) for request in requests
+        }
 
     def time(self, moment: float) -> float:
-        """Milliseconds from now to a Unix millisecond; 0 stays 0."""
+        """Returns the milliseconds from now to a Unix millisecond; 0 stays 0."""
         return round(moment - self.now, 3) + 0.0 if moment else 0.0
 
-    def place(self, req: int) -> int:
-        """The place in the scope of an open request; -1 for one that has ended."""
-        return self._places.get(req, -1)
+    def request_position(self, request_number: int) -> int:
+        """Returns the position in the scope of an open request, from 1 on; -1 for one that has ended."""
+        return self._positions.get(request_number, -1)
 
-    def node(self, node: Endpoint) -> tuple[Any, ...]:
-        """An entry of the endpoint list."""
+    def endpoint(self, endpoint: Endpoint) -> tuple[Any, ...]:
+        """Encodes an entry of the endpoint list."""
         return (
-            node.endpoint_id,
-            node.role,
-            self.time(node.started_at),
-            int(node.state),
-            node.cell,
-            node.zone,
-            node.weight,
+            endpoint.endpoint_id,
+            endpoint.role,
+            self.time(endpoint.started_at),
+            int(endpoint.state),
+            endpoint.cell,
+            endpoint.zone,
+            endpoint.weight,
         )
--- a/edge_router/model_checker/fingerprint/decision.py
+++ b/edge_router/model_checker/fingerprint/decision.py
@@ -1,4 +1,4 @@
-"""The state of the decision module: its list, popularity, detector, budgets and requests."""
+"""Encodes the decision module: endpoints, popularity, outlier detection, slow start, loads and requests."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from edge_router.model_checker.fingerprint.common import (
     DERIVED,
     FIXED,
+    REFERENCE,
     REPORTED,
-    WIRING,
     Fields,
-    Frame,
     Ledger,
+    ReferenceFrame,
     rounded,
 )
 
@@ -34,12 +34,12 @@
         "directory popularity purges pending loads copies mean_work retry_budget",
         {
             "_settings": FIXED,
-            "_random": "always the middle here",
-            "_actions": "handed over already",
+            "_random": "replaced by a source without state, which always returns the middle of the range",
+            "_actions": "empty between steps: the actions of an event are handed over when it is handled",
             "_handlers": FIXED,
-            "candidates": WIRING,
-            "outcomes": WIRING,
-            "handle": "wrapped for the observer",
+            "candidates": REFERENCE,
+            "outcomes": REFERENCE,
+            "handle": "replaced by the wrapper that notifies the observer",
         },
     ),
     EndpointDirectory: Fields(
@@ -56,7 +56,7 @@
         "by_endpoint fill_wait origin zone_link",
         {
             "_settings": FIXED,
-            "_directory": WIRING,
+            "_directory": REFERENCE,
             "_client_bandwidth": FIXED,
             "_shortest_objective": FIXED,
             "_zone_share": FIXED,
@@ -64,17 +64,17 @@
             "_zone_link_transfers": FIXED,
         },
     ),
-    CopyTracker: Fields("last_used", {"_lifetime": FIXED, "_purges": WIRING}),
+    CopyTracker: Fields("last_used", {"_lifetime": FIXED, "_purges": REFERENCE}),
     RetryBudget: Fields("tokens", {"ratio": FIXED, "burst": FIXED}),
-    CandidateSelector: Fields("", {"_directory": WIRING, "_loads": WIRING, "_popularity": WIRING}),
+    CandidateSelector: Fields("", {"_directory": REFERENCE, "_loads": REFERENCE, "_popularity": REFERENCE}),
     OutcomeRecorder: Fields(
         "",
         {
-            "_directory": WIRING,
-            "_loads": WIRING,
-            "_popularity": WIRING,
-            "_copies": WIRING,
-            "_report": WIRING,
+            "_directory": REFERENCE,
+            "_loads": REFERENCE,
+            "_popularity": REFERENCE,
+            "_copies": REFERENCE,
+            "_report": REFERENCE,
         },
     ),
     PendingRequest: Fields(
@@ -103,7 +103,10 @@
     ),
     RecentPurges: Fields(
         "_purges",
-        {"_retention": FIXED, "_next_cleanup_at": "when what is over is dropped; it has no effect"},
+        {
+            "_retention": FIXED,
+            "_next_cleanup_at": "time of the next cleanup, which only drops purges without effect",
+        },
     ),
     Popularity: Fields(
         "_counts _total_count _total_kb _weight_origin _request_count _next_ranking_at _top_set_min_count "
@@ -113,11 +116,11 @@
 }
 
 
-def encode_director(policy: RoutingPolicy, frame: Frame) -> tuple[Any, ...]:
-    """The decision module, in a form that can be sorted and compared."""
+def encode_policy(policy: RoutingPolicy, frame: ReferenceFrame) -> tuple[Any, ...]:
+    """Encodes the decision module as tuples that can be sorted and compared."""
     directory, loads = policy.directory, policy.loads
     return (
-        tuple(frame.node(directory.endpoints[key]) for key in sorted(directory.endpoints)),
+        tuple(frame.endpoint(directory.endpoints[key]) for key in sorted(directory.endpoints)),
         _popularity(policy.popularity, frame),
         tuple(_outliers(each, frame) for each in (directory.cache_outliers, directory.source_outliers)),
         tuple(_slow_start(each, frame) for each in (directory.cache_budget, directory.parent_budget)),
@@ -125,7 +128,12 @@
             (key, frame.time(purge.purged_at), frame.time(purge.received_at))
             for key, purge in sorted(policy.purges._purges.items())
         ),
-        tuple(sorted((frame.place(req), *_pending(each, frame)) for req, each in policy.pending.items())),
+        tuple(
+            sorted(
+                (frame.request_position(number), *_pending(each, frame))
+                for number, each in policy.pending.items()
+            )
+        ),
         tuple((key, *_load(load, frame)) for key, load in sorted(loads.by_endpoint.items())),
         rounded(loads.fill_wait),
         _load(loads.origin, frame),
@@ -136,13 +144,13 @@
     )
 
 
-def _popularity(popularity: Popularity, frame: Frame) -> tuple[Any, ...]:
-    table = tuple(
+def _popularity(popularity: Popularity, frame: ReferenceFrame) -> tuple[Any, ...]:
+    counts = tuple(
         (key, rounded(item.size_kb), rounded(item.count), item.segments)
         for key, item in sorted(popularity._counts.items())
     )
     return (
-        table,
+        counts,
         rounded(popularity._total_count),
         rounded(popularity._total_kb),
         frame.time(popularity._weight_origin),
@@ -153,35 +161,35 @@
     )
 
 
-def _outliers(detectors: dict[int, OutlierDetector], frame: Frame) -> tuple[Any, ...]:
-    """The outlier detectors of the endpoints of which anything is known."""
+def _outliers(detectors: dict[int, OutlierDetector], frame: ReferenceFrame) -> tuple[Any, ...]:
+    """Encodes the outlier detectors that have recorded anything."""
     return tuple(
-        (key, *found)
+        (key, *encoded)
         for key, detector in sorted(detectors.items())
-        if (found := _outlier(detector, frame)) is not None
+        if (encoded := _outlier(detector, frame)) is not None
     )
 
 
-def _outlier(detector: OutlierDetector, frame: Frame) -> tuple[float, ...] | None:
-    """The outlier detector of an endpoint; None if nothing is known."""
-    found = (
+def _outlier(detector: OutlierDetector, frame: ReferenceFrame) -> tuple[float, ...] | None:
+    """Encodes the outlier detector of an endpoint; returns None if it has recorded nothing."""
+    encoded = (
         frame.time(detector.last_success),
         float(detector.failure_score),
         frame.time(detector.ejected_until),
         frame.time(detector.last_reset),
     )
-    return None if found == (-math.inf, 0.0, -math.inf, -math.inf) else found
+    return None if encoded == (-math.inf, 0.0, -math.inf, -math.inf) else encoded
 
 
-def _slow_start(budget: SlowStartBudget, frame: Frame) -> tuple[Any, ...]:
+def _slow_start(budget: SlowStartBudget, frame: ReferenceFrame) -> tuple[Any, ...]:
     return tuple(
         (key, tuple((frame.time(each.charged_at), rounded(each.work)) for each in charges))
         for key, charges in sorted(budget.charges.items())
     )
 
 
-def _load(load: LinkLoad, frame: Frame) -> tuple[Any, ...]:
-    """The load of a link."""
+def _load(load: LinkLoad, frame: ReferenceFrame) -> tuple[Any, ...]:
+    """Encodes the load of a link."""
     return (
         rounded(load.capacity),
         rounded(load.headroom),
@@ -193,7 +201,7 @@
     )
 
 
-def _attempt(attempt: AttemptRecord, frame: Frame) -> tuple[Any, ...]:
+def _attempt(attempt: AttemptRecord, frame: ReferenceFrame) -> tuple[Any, ...]:
     return (
         attempt.endpoint_id,
         attempt.source_id,
@@ -210,8 +218,8 @@
     )
 
 
-def _pending(pending: PendingRequest, frame: Frame) -> tuple[Any, ...]:
-    """A request that has no final answer yet."""
+def _pending(pending: PendingRequest, frame: ReferenceFrame) -> tuple[Any, ...]:
+    """Encodes a request that is pending in the decision module."""
     return (
         rounded(pending.work),
         frame.time(pending.deadline),
--- a/edge_router/model_checker/fingerprint/peers.py
+++ b/edge_router/model_checker/fingerprint/peers.py
@@ -1,10 +1,10 @@
-"""The state of the modelled peers: caches, clients, the change log, and what the observer remembers."""
+"""Encodes the modelled peers: caches, clients, the change log, and what the observer has recorded."""
 
 from __future__ import annotations
 
 from typing import Any
 
-from edge_router.model_checker.fingerprint.common import DERIVED, WIRING, Fields, Frame, Ledger
+from edge_router.model_checker.fingerprint.common import DERIVED, REFERENCE, Fields, Ledger, ReferenceFrame
 from edge_router.model_checker.fingerprint.transport import encode_channel, encode_session
 from edge_router.model_checker.model.change_log import ChangeLog
 from edge_router.model_checker.model.clients import Clients
@@ -16,22 +16,22 @@
 from edge_router.model_checker.properties import Observer
 from edge_router.proxy.request_router import RequestRouter
 
-EVENT_HEAD = 13  # bytes of an event of the change log before its payload
+EVENT_HEAD_SIZE = 13  # bytes of a change log event before its payload
 
 PEERS: Ledger = {
     CacheChannel: Fields(
         "listening_endpoint_id connect_deadline never_connects sock pending_ids aborted_ids answered_ids "
         "attempt_numbers unsent",
-        {"connection": WIRING, "observer": WIRING, "last_responses": DERIVED, "partial": DERIVED},
+        {"connection": REFERENCE, "observer": REFERENCE, "last_responses": DERIVED, "partial": DERIVED},
     ),
     UpstreamSocket: Fields(
-        "writable_bytes end _remaining", {"_observer": WIRING, "_channel": WIRING, "_command": DERIVED}
+        "writable_bytes end _remaining", {"_observer": REFERENCE, "_channel": REFERENCE, "_command": DERIVED}
     ),
 }
 
 
-def encode_server(channel: CacheChannel, harness: Harness, frame: Frame) -> tuple[Any, ...]:
-    """A connection to a modelled cache: the router's end, its socket, and what the cache knows."""
+def encode_cache_channel(channel: CacheChannel, harness: Harness, frame: ReferenceFrame) -> tuple[Any, ...]:
+    """Encodes a connection to a cache: the router's end, its socket, and what the cache has received."""
     sock, endpoint_id = channel.sock, channel.connection.endpoint_id
     return (
         endpoint_id,
@@ -54,8 +54,8 @@
     )
 
 
-def encode_surroundings(state: ModelState, frame: Frame) -> tuple[Any, ...]:
-    """The client connection, the endpoint list, the change log, and the limits of the run."""
+def encode_environment(state: ModelState, frame: ReferenceFrame) -> tuple[Any, ...]:
+    """Encodes the client connection, the endpoint list, the change log, and the limits of the run."""
     harness = state.harness
     return (
         _client(state.clients, frame),
@@ -69,7 +69,7 @@
     )
 
 
-def _client(clients: Clients, frame: Frame) -> tuple[Any, ...]:
+def _client(clients: Clients, frame: ReferenceFrame) -> tuple[Any, ...]:
     session = clients.session
     return (
         *encode_session(session, frame),
@@ -81,7 +81,7 @@
     )
 
 
-def _listed_endpoints(endpoints: Endpoints, frame: Frame) -> tuple[Any, ...]:
+def _listed_endpoints(endpoints: Endpoints, frame: ReferenceFrame) -> tuple[Any, ...]:
     return tuple(
         (endpoint_id, listed.name, int(listed.state), frame.time(listed.started))
         for endpoint_id, listed in sorted(endpoints.listed.items())
@@ -89,7 +89,7 @@
 
 
 def _change_log(log: ChangeLog, may_repeat: bool) -> tuple[Any, ...]:
-    """What the router has not received yet; and the last event, where it may be sent again."""
+    """Encodes the events that the router has not received yet, and the last event if it may be sent again."""
     decoder = log.decoder
     return (
         log.connected,
@@ -98,12 +98,12 @@
         decoder._sequence_after_gap - decoder.last_sequence,
         decoder._replaying_all,
         tuple(log.frames[decoder.last_sequence :]),
-        log.frames[-1][EVENT_HEAD:] if may_repeat else b"",
+        log.frames[-1][EVENT_HEAD_SIZE:] if may_repeat else b"",
     )
 
 
-def encode_observer(observer: Observer, router: RequestRouter, frame: Frame) -> tuple[Any, ...]:
-    """What the observer has to remember of purges and requests."""
+def encode_observer(observer: Observer, router: RequestRouter, frame: ReferenceFrame) -> tuple[Any, ...]:
+    """Encodes the observer's records of purges and requests, as far as later checks depend on them."""
     purges = tuple(
         (frame.time(purge.notified_at), frame.time(purge.purged_at), purge.group, purge.object_key)
         for purge in observer.purges
@@ -115,10 +115,10 @@
 
 
 def _request(
-    request_id: str, request: ObservedRequest, router: RequestRouter, frame: Frame
+    request_id: str, request: ObservedRequest, router: RequestRouter, frame: ReferenceFrame
 ) -> tuple[Any, ...]:
     if request.state is not RequestState.OPEN and router.requests._by_request_id.get(request_id) is None:
-        return (request_id, request.state.value, 0.0, (), ())  # nothing that follows depends on the rest
+        return (request_id, request.state.value, 0.0, (), ())  # no later check depends on the rest
     attempts = tuple(_attempt(attempt, frame) for attempt in request.attempts)
     history = (
         tuple(request.ended_attempts),
@@ -128,7 +128,7 @@
     return (request_id, request.state.value, frame.time(request.deadline), attempts, history)
 
 
-def _attempt(attempt: ObservedAttempt, frame: Frame) -> tuple[Any, ...]:
+def _attempt(attempt: ObservedAttempt, frame: ReferenceFrame) -> tuple[Any, ...]:
     return (
         attempt.number,
         attempt.endpoint_id,
--- a/edge_router/model_checker/fingerprint/proxy.py
+++ b/edge_router/model_checker/fingerprint/proxy.py
@@ -1,4 +1,4 @@
-"""The state of the stages of a request, and of the tables of requests, nodes and purges."""
+"""Encodes the stages of a request, and the tables of requests, endpoints, connections and purges."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from edge_router.model_checker.fingerprint.common import (
     DERIVED,
     FIXED,
+    REFERENCE,
     REPORTED,
-    WIRING,
     Fields,
-    Frame,
     Ledger,
+    ReferenceFrame,
     rounded,
 )
 from edge_router.proxy import admission, request_table, response_handler, response_validation
@@ -33,20 +33,20 @@
         "_undecided",
         {
             "_settings": FIXED,
-            "_clock": WIRING,
-            "_timers": WIRING,
-            "_policy": WIRING,
-            "peer_clock": "peers and router share one clock here, so it stays as it was set",
-            "purges": WIRING,
-            "endpoints": WIRING,
-            "requests": WIRING,
-            "admission": WIRING,
-            "accounting": WIRING,
-            "response_handler": WIRING,
-            "dispatcher": WIRING,
-            "_discovery_updates": WIRING,
+            "_clock": REFERENCE,
+            "_timers": REFERENCE,
+            "_policy": REFERENCE,
+            "peer_clock": "constant, as peers and router share one clock in the model",
+            "purges": REFERENCE,
+            "endpoints": REFERENCE,
+            "requests": REFERENCE,
+            "admission": REFERENCE,
+            "accounting": REFERENCE,
+            "response_handler": REFERENCE,
+            "dispatcher": REFERENCE,
+            "_discovery_updates": REFERENCE,
             "_action_handlers": FIXED,
-            "_wake": WIRING,
+            "_wake": REFERENCE,
             "_events": "empty between steps",
             "_processing": "false between steps",
             "_logged_at": REPORTED,
@@ -55,12 +55,12 @@
     admission.AdmissionController: Fields(
         "cpu_credit latest_deadline",
         {
-            "_random": "always the middle here",
+            "_random": "replaced by a source without state, which always returns the middle of the range",
             "_max_retry_after": FIXED,
             "_priority": FIXED,
             "_max_queue_time": FIXED,
-            "_requests": WIRING,
-            "_budget": WIRING,
+            "_requests": REFERENCE,
+            "_budget": REFERENCE,
             "_max_requests": FIXED,
             "_bytes_per_kb": FIXED,
         },
@@ -68,9 +68,9 @@
     RequestAccounting: Fields(
         "",
         {
-            "_clock": WIRING,
-            "_admission": WIRING,
-            "_post": WIRING,
+            "_clock": REFERENCE,
+            "_admission": REFERENCE,
+            "_post": REFERENCE,
             "counts": REPORTED,
             "invariants": REPORTED,
             "_max_queue_time": REPORTED,
@@ -80,187 +80,192 @@
         "",
         {
             "_load_report_fields": FIXED,
-            "_accounting": WIRING,
-            "_clock": WIRING,
-            "_peer_clock": WIRING,
-            "validator": WIRING,
+            "_accounting": REFERENCE,
+            "_clock": REFERENCE,
+            "_peer_clock": REFERENCE,
+            "validator": REFERENCE,
         },
     ),
     response_validation.ResponseValidator: Fields(
-        "", {"_settings": FIXED, "_peer_clock": WIRING, "_purges": WIRING}
+        "", {"_settings": FIXED, "_peer_clock": REFERENCE, "_purges": REFERENCE}
     ),
     purge_history.PurgeHistory: Fields("_purges", {"_retention": FIXED, "_next_sweep": DERIVED}),
     DiscoveryUpdates: Fields(
         "",
         {
-            "_clock": WIRING,
-            "_peer_clock": WIRING,
-            "_endpoints": WIRING,
-            "_purges": WIRING,
-            "_requests": WIRING,
-            "_dispatcher": WIRING,
-            "_post": WIRING,
+            "_clock": REFERENCE,
+            "_peer_clock": REFERENCE,
+            "_endpoints": REFERENCE,
+            "_purges": REFERENCE,
+            "_requests": REFERENCE,
+            "_dispatcher": REFERENCE,
+            "_post": REFERENCE,
         },
     ),
     AttemptDispatcher: Fields(
         "_connection_of",
         {
-            "_clock": WIRING,
-            "_timers": WIRING,
-            "_endpoints": WIRING,
-            "_accounting": WIRING,
-            "_response_handler": WIRING,
-            "pool": WIRING,
+            "_clock": REFERENCE,
+            "_timers": REFERENCE,
+            "_endpoints": REFERENCE,
+            "_accounting": REFERENCE,
+            "_response_handler": REFERENCE,
+            "pool": REFERENCE,
         },
     ),
     ConnectionPool: Fields(
         "max_connections _connections",
         {
-            "_clock": WIRING,
-            "_timers": WIRING,
-            "_endpoints": WIRING,
+            "_clock": REFERENCE,
+            "_timers": REFERENCE,
+            "_endpoints": REFERENCE,
             "_settings": FIXED,
             "_counts": REPORTED,
-            "_connect": WIRING,
+            "_connect": REFERENCE,
         },
     ),
     UpstreamConnection: Fields(
         "endpoint_id address opened_at attempts abandoned_ids answered_ids suspect "
         "last_received_at last_used_at channel",
-        {"_owner": WIRING},
+        {"_owner": REFERENCE},
     ),
     request_table.RequestTable: Fields(
-        "_by_number _by_request_id", {"_last_number": "a request is named by its place"}
+        "_by_number _by_request_id", {"_last_number": "requests are named by their position in the scope"}
     ),
     request_table.ActiveRequest: Fields(
         "incoming deadline reserved_bytes answered backstop_timer expired attempts",
-        {"request_number": "a request is named by its place"},
+        {"request_number": "requests are named by their position in the scope"},
     ),
     request_table.Attempt: Fields(
         "index instruction created_at sent_at purged ended reassigned timeout_timer outcome",
-        {"request": WIRING},
+        {"request": REFERENCE},
+    ),
+    endpoint_table.EndpointTable: Fields(
+        "_endpoints", {"_starts": "not needed, as peers and router share one clock in the model"}
     ),
-    endpoint_table.EndpointTable: Fields("_endpoints", {"_starts": "peers and router share one clock here"}),
     MemoryBudget: Fields("limit _used", {}),
 }
 
 
-def encode_proxy(route: RequestRouter, memory: MemoryBudget, frame: Frame) -> tuple[Any, ...]:
-    """The stages and the tables, in a form that can be sorted and compared."""
+def encode_proxy(router: RequestRouter, budget: MemoryBudget, frame: ReferenceFrame) -> tuple[Any, ...]:
+    """Encodes the stages and the tables as tuples that can be sorted and compared."""
     return (
-        getattr(route.admission.cpu_credit, "saved", 0.0),
-        frame.time(route.admission.latest_deadline),
-        _members(route, frame),
-        _purges(route, frame),
-        tuple(sorted(_request(request, frame) for request in route.requests)),
+        getattr(router.admission.cpu_credit, "saved", 0.0),
+        frame.time(router.admission.latest_deadline),
+        _endpoints(router, frame),
+        _purges(router, frame),
+        tuple(sorted(_request(request, frame) for request in router.requests)),
         tuple(
             sorted(
-                (txn, frame.place(request.request_number))
-                for txn, request in route.requests._by_request_id.items()
+                (request_id, frame.request_position(request.request_number))
+                for request_id, request in router.requests._by_request_id.items()
             )
         ),
-        tuple((frame.time(came), frame.place(request.request_number)) for came, request in route._undecided),
-        _links(route, frame),
-        _attempts_on_links(route, frame),
-        route.dispatcher.pool.max_connections,
-        memory.limit,
-        memory._used,
+        tuple(
+            (frame.time(received_at), frame.request_position(request.request_number))
+            for received_at, request in router._undecided
+        ),
+        _connections(router, frame),
+        _connections_of_attempts(router, frame),
+        router.dispatcher.pool.max_connections,
+        budget.limit,
+        budget._used,
     )
 
 
-def _members(route: RequestRouter, frame: Frame) -> tuple[Any, ...]:
+def _endpoints(router: RequestRouter, frame: ReferenceFrame) -> tuple[Any, ...]:
     return tuple(
-        (key, frame.node(member.endpoint), member.host, member.port)
-        for key, member in sorted(route.endpoints._endpoints.items())
+        (key, frame.endpoint(address.endpoint), address.host, address.port)
+        for key, address in sorted(router.endpoints._endpoints.items())
     )
 
 
-def _purges(route: RequestRouter, frame: Frame) -> tuple[Any, ...]:
+def _purges(router: RequestRouter, frame: ReferenceFrame) -> tuple[Any, ...]:
     return tuple(
-        (name, tuple((frame.time(told), frame.time(unix)) for told, unix in found))
-        for name, found in sorted(route.purges._purges.items())
+        (key, tuple((frame.time(received_at), frame.time(purged_at)) for received_at, purged_at in purges))
+        for key, purges in sorted(router.purges._purges.items())
     )
 
 
-def _links(route: RequestRouter, frame: Frame) -> tuple[Any, ...]:
+def _connections(router: RequestRouter, frame: ReferenceFrame) -> tuple[Any, ...]:
     return tuple(
-        (key, tuple(_link(link, frame) for link in links))
-        for key, links in sorted(route.dispatcher.pool._connections.items())
+        (key, tuple(_connection(connection, frame) for connection in connections))
+        for key, connections in sorted(router.dispatcher.pool._connections.items())
     )
 
 
-def _attempts_on_links(route: RequestRouter, frame: Frame) -> tuple[Any, ...]:
+def _connections_of_attempts(router: RequestRouter, frame: ReferenceFrame) -> tuple[Any, ...]:
     return tuple(
         sorted(
-            (frame.place(attempt.request.request_number), attempt.index, link.endpoint_id)
-            for attempt, link in route.dispatcher._connection_of.items()
+            (frame.request_position(attempt.request.request_number), attempt.index, connection.endpoint_id)
+            for attempt, connection in router.dispatcher._connection_of.items()
         )
     )
 
 
-def _request(request: request_table.ActiveRequest, frame: Frame) -> tuple[Any, ...]:
+def _request(request: request_table.ActiveRequest, frame: ReferenceFrame) -> tuple[Any, ...]:
     return (
         int(request.incoming.request_id, 16),
         frame.time(request.deadline),
         request.reserved_bytes,
         request.answered,
         request.expired,
-        _alarm(request.backstop_timer),
+        _timer_state(request.backstop_timer),
         tuple(_attempt(attempt, frame) for attempt in request.attempts),
     )
 
 
-def _alarm(alarm: TimerHandle | None) -> int:
-    """Whether an alarm is set: -1 for none, else 0 or 1."""
-    return -1 if alarm is None else int(alarm.callback is not None)
+def _timer_state(timer: TimerHandle | None) -> int:
+    """Returns 1 for a timer that was not cancelled, 0 for a cancelled one, and -1 for none."""
+    return -1 if timer is None else int(timer.callback is not None)
 
 
-def _order(order: StartAttempt, frame: Frame) -> tuple[Any, ...]:
-    """An order of the decision module, without the number of its request."""
-    begin_by = order.start_before if order.start_before < math.inf else 0.0
+def _instruction(instruction: StartAttempt, frame: ReferenceFrame) -> tuple[Any, ...]:
+    """Encodes an instruction of the decision module, without the number of its request."""
+    start_before = instruction.start_before if instruction.start_before < math.inf else 0.0
     return (
-        order.endpoint_id,
-        frame.time(order.deadline),
-        order.source_id,
-        order.cache_rank,
-        rounded(order.max_age),
-        order.fill_mode,
-        frame.time(begin_by),
+        instruction.endpoint_id,
+        frame.time(instruction.deadline),
+        instruction.source_id,
+        instruction.cache_rank,
+        rounded(instruction.max_age),
+        instruction.fill_mode,
+        frame.time(start_before),
     )
 
 
-def _attempt(attempt: request_table.Attempt, frame: Frame) -> tuple[Any, ...]:
+def _attempt(attempt: request_table.Attempt, frame: ReferenceFrame) -> tuple[Any, ...]:
     return (
         attempt.index,
-        _order(attempt.instruction, frame),
+        _instruction(attempt.instruction, frame),
         frame.time(attempt.created_at),
         frame.time(attempt.sent_at or 0.0),
         attempt.purged,
         attempt.ended,
         attempt.reassigned,
-        _alarm(attempt.timeout_timer),
+        _timer_state(attempt.timeout_timer),
         -1 if attempt.outcome is None else int(attempt.outcome),
     )
 
 
-def _link(link: UpstreamConnection, frame: Frame) -> tuple[Any, ...]:
-    """A connection to a cache as the send stage sees it, without its channel."""
+def _connection(connection: UpstreamConnection, frame: ReferenceFrame) -> tuple[Any, ...]:
+    """Encodes a connection to a cache as the dispatcher sees it, without its channel."""
     return (
-        link.endpoint_id,
-        link.address,
-        frame.time(link.opened_at),
-        tuple(sorted((txn, attempt.index) for txn, attempt in link.attempts.items())),
-        tuple(sorted(link.abandoned_ids)),
-        tuple(sorted(link.answered_ids)),
-        link.suspect,
-        frame.time(link.last_received_at),
-        frame.time(link.last_used_at),
+        connection.endpoint_id,
+        connection.address,
+        frame.time(connection.opened_at),
+        tuple(sorted((request_id, attempt.index) for request_id, attempt in connection.attempts.items())),
+        tuple(sorted(connection.abandoned_ids)),
+        tuple(sorted(connection.answered_ids)),
+        connection.suspect,
+        frame.time(connection.last_received_at),
+        frame.time(connection.last_used_at),
     )
 
 
-def encode_command(command: Any, frame: Frame) -> tuple[Any, ...]:
-    """A command (a fetch or an abort) that waits to be written."""
+def encode_command(command: Any, frame: ReferenceFrame) -> tuple[Any, ...]:
+    """Encodes a command (a fetch or an abort) that waits to be written."""
     if isinstance(command, FetchCommand):
         attempt = command.attempt
-        return (frame.place(attempt.request.request_number), attempt.index, attempt.ended)
+        return (frame.request_position(attempt.request.request_number), attempt.index, attempt.ended)
     return (command.request_id,)
--- a/edge_router/model_checker/fingerprint/transport.py
+++ b/edge_router/model_checker/fingerprint/transport.py
@@ -1,4 +1,4 @@
-"""The state of the codecs, the connections, the client sessions and the timers."""
+"""Encodes the codecs, the connections, the client sessions and the timers."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from functools import partial
 from typing import Any
 
-from edge_router.model_checker.fingerprint.common import REPORTED, WIRING, Fields, Frame, Ledger
+from edge_router.model_checker.fingerprint.common import REFERENCE, REPORTED, Fields, Ledger, ReferenceFrame
 from edge_router.model_checker.fingerprint.proxy import encode_command
 from edge_router.protocol import fastcgi
 from edge_router.protocol.resp import RespDecoder
@@ -19,21 +19,21 @@
     Timers: Fields(
         "_heap",
         {
-            "_clock": WIRING,
-            "_monotonic": WIRING,
-            "_wake": WIRING,
-            "_sequence": "the order of equal times is that of the heap",
-            "_last_run": "read for what waits unread; bytes are read as soon as they arrive here",
-            "_stall_start": "read for what waits unread; bytes are read as soon as they arrive here",
-            "_stall_end": "read for what waits unread; bytes are read as soon as they arrive here",
+            "_clock": REFERENCE,
+            "_monotonic": REFERENCE,
+            "_wake": REFERENCE,
+            "_sequence": "timers are encoded in the order in which they fire, also at equal times",
+            "_last_run": "only used for the time that bytes wait unread, which is 0 in the model",
+            "_stall_start": "only used for the time that bytes wait unread, which is 0 in the model",
+            "_stall_end": "only used for the time that bytes wait unread, which is 0 in the model",
         },
     ),
     UpstreamChannel: Fields(
         "_queue _partial_write _write_blocked buffer decoder local_shortage connected closed partial_since",
         {
-            "_owner": WIRING,
-            "_clock": WIRING,
-            "_sock": WIRING,
+            "_owner": REFERENCE,
+            "_clock": REFERENCE,
+            "_sock": REFERENCE,
             "_pumping": "false between steps",
             "_close_reason": REPORTED,
         },
@@ -43,25 +43,26 @@
         "_decoder _buffer _close_reason _partial_since silent _control_records _responses _unsent_bytes "
         "_partial_write _write_blocked _client_stalled closing finished",
         {
-            "_sock": WIRING,
-            "sock": "encoded by its fields",
-            "_handler": WIRING,
-            "_clock": WIRING,
-            "_budget": WIRING,
-            "last_used": "read by the check of idle clients, which is not played here",
-            "time_unread": "bytes are read as soon as they arrive here",
-            "_max_unread_time": "bytes are read as soon as they arrive here",
-            "_last_unread_time": "bytes are read as soon as they arrive here",
+            "_sock": REFERENCE,
+            "sock": "encoded by its fields, with the environment",
+            "_handler": REFERENCE,
+            "_clock": REFERENCE,
+            "_budget": REFERENCE,
+            "last_used": "read by the check of idle clients, which the model does not run",
+            "time_unread": "in the model, bytes are read as soon as they arrive",
+            "_max_unread_time": "in the model, bytes are read as soon as they arrive",
+            "_last_unread_time": "in the model, bytes are read as soon as they arrive",
         },
     ),
     fastcgi.FastCgiDecoder: Fields(
-        "_partial_requests open_ids rejected_in_a_row keep_connection", {"_budget": WIRING, "_clock": WIRING}
+        "_partial_requests open_ids rejected_in_a_row keep_connection",
+        {"_budget": REFERENCE, "_clock": REFERENCE},
     ),
 }
 
 
-def encode_channel(channel: UpstreamChannel, frame: Frame) -> tuple[Any, ...]:
-    """A connection to a cache: its queue, buffers and decoder."""
+def encode_channel(channel: UpstreamChannel, frame: ReferenceFrame) -> tuple[Any, ...]:
+    """Encodes a connection to a cache: its queue, buffers and decoder."""
     buffer, decoder = channel.buffer, channel.decoder
     return (
         tuple(encode_command(command, frame) for command in channel._queue),
@@ -78,8 +79,8 @@
     )
 
 
-def encode_session(session: ClientSession, frame: Frame) -> tuple[Any, ...]:
-    """A client connection: its decoder, its buffers and what it still owes."""
+def encode_session(session: ClientSession, frame: ReferenceFrame) -> tuple[Any, ...]:
+    """Encodes a client connection: its decoder, its buffers and the responses that it still has to send."""
     decoder = session._decoder
     return (
         tuple(sorted(decoder.open_ids)),
@@ -99,25 +100,25 @@
     )
 
 
-def encode_timers(timers: Timers, seconds: float, frame: Frame) -> tuple[Any, ...]:
-    """All alarms that are set, in their order; `seconds` is the present on the clock of the timers."""
+def encode_timers(timers: Timers, monotonic_now: float, frame: ReferenceFrame) -> tuple[Any, ...]:
+    """Encodes all timers that are set, in the order in which they fire; `monotonic_now` is in seconds."""
     return tuple(
-        (round(due - seconds, 6), _call(alarm.callback, frame))
-        for due, _, alarm in sorted(timers._heap, key=lambda entry: entry[:2])
-        if alarm.callback is not None
+        (round(due - monotonic_now, 6), _callback(timer.callback, frame))
+        for due, _, timer in sorted(timers._heap, key=lambda entry: entry[:2])
+        if timer.callback is not None
     )
 
 
-def _call(call: Callable[[], None], frame: Frame) -> tuple[Any, ...]:
-    """What an alarm will do: the name of the function, and the requests and attempts it is bound to."""
-    if not isinstance(call, partial):
-        return (getattr(call, "__name__", ""),)
-    found: list[Any] = [getattr(call.func, "__name__", "")]
-    for argument in call.args:
+def _callback(callback: Callable[[], None], frame: ReferenceFrame) -> tuple[Any, ...]:
+    """Encodes what a timer will do: the function's name, and the requests and attempts it is bound to."""
+    if not isinstance(callback, partial):
+        return (getattr(callback, "__name__", ""),)
+    encoded: list[Any] = [getattr(callback.func, "__name__", "")]
+    for argument in callback.args:
         if isinstance(argument, request_table.Attempt):
-            found += [frame.place(argument.request.request_number), argument.index]
+            encoded += [frame.request_position(argument.request.request_number), argument.index]
         elif isinstance(argument, request_table.ActiveRequest):
-            found.append(frame.place(argument.request_number))
+            encoded.append(frame.request_position(argument.request_number))
         else:
-            found.append(frame.place(getattr(argument, "token", -1)))
-    return tuple(found)
+            encoded.append(frame.request_position(getattr(argument, "token", -1)))
+    return tuple(encoded)
