--- a/edge_router/model_checker/mutations/__init__.py
+++ b/edge_router/model_checker/mutations/__init__.py
@@ -1,7 +1,7 @@
-"""Mutations: faults of one line that are put into the loaded router, to test the model checker itself.
+"""Mutations: small faults that are planted in the loaded router to test the model checker itself.
 
-Each names a function of the router and one piece of its text to replace. A model checker that does not find
-all of them can't be trusted. Each area of the core keeps its mutations in a module of its own.
+Each mutation names a function of the router and a piece of its source text to replace. A model checker that
+does not find all of them can't be trusted. There is one module of mutations for each area of the core.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def by_name(name: str) -> Mutation:
-    """The mutation of that name; raises KeyError."""
+    """Returns the mutation of that name; raises KeyError if there is none."""
     for mutation in MUTATIONS:
         if mutation.name == name:
             return mutation
@@ -27,9 +27,9 @@
 
 
 def plant(name: str) -> None:
-    """Applies a mutation in place of the one before; an empty name restores the original code.
+    """Removes the planted mutation, and plants another one unless the name is empty.
 
-    Raises KeyError for an unknown name, and MutationError if the source has changed.
+    Raises KeyError for an unknown name, and MutationError if the source no longer has the text to replace.
     """
     while _applied:
         _applied.pop().undo()
--- a/edge_router/model_checker/mutations/common.py
+++ b/edge_router/model_checker/mutations/common.py
@@ -1,4 +1,4 @@
-"""The type of a mutation, and the code that puts one in place of the original function."""
+"""The type of a mutation, and the code that installs one in place of the original function."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
     name: str
     owner: Any  # the class or module that holds the function
     function: str
-    old: str  # text that must occur exactly once in the source of the function
-    new: str
+    old: str  # must occur exactly once in the source of the function
+    new: str  # replaces `old`
     scopes: tuple[str, ...]  # searched in this order
-    breaks: str  # the property that the fault violates
-    also: str = ""  # a second mutation applied with it, where one guard alone would hide the fault
+    breaks: str  # name of the property that the fault violates
+    also: str = ""  # name of a second mutation, applied too, which removes a guard that would hide the fault
 
 
 class MutationError(Exception):
@@ -33,7 +33,7 @@
 
 
 class Replacement(NamedTuple):
-    """A function that was replaced, kept so that it can be restored."""
+    """The original of a function that was replaced, kept so that it can be restored."""
 
     owner: Any
     function: str
@@ -45,18 +45,18 @@
 
 
 def apply(mutation: Mutation) -> Replacement:
-    """Compiles the mutated function and installs it in this process; raises MutationError.
+    """Compiles the mutated function and installs it in this process. The files on disk are not changed.
 
-    The files on disk stay as they are.
+    Raises MutationError if `old` does not occur exactly once in the source of the function.
     """
     original = inspect.getattr_static(mutation.owner, mutation.function)
-    plain = original.__func__ if isinstance(original, (staticmethod, classmethod)) else original
-    text = textwrap.dedent(inspect.getsource(plain))
+    function = original.__func__ if isinstance(original, (staticmethod, classmethod)) else original
+    text = textwrap.dedent(inspect.getsource(function))
     occurrences = text.count(mutation.old)
     if occurrences != 1:
         raise MutationError(mutation, occurrences)
     code = compile(text.replace(mutation.old, mutation.new), f"<{mutation.name}>", "exec")
     namespace: dict[str, Any] = {}
-    exec(code, vars(sys.modules[plain.__module__]), namespace)
+    exec(code, vars(sys.modules[function.__module__]), namespace)
     setattr(mutation.owner, mutation.function, namespace[mutation.function])
     return Replacement(mutation.owner, mutation.function, original)
--- a/edge_router/model_checker/mutations/proxy.py
+++ b/edge_router/model_checker/mutations/proxy.py
@@ -1,4 +1,4 @@
-"""Mutations of the stages of a request and of the router's tables."""
+"""Mutations of the stages of a request and of the tables of endpoints, connections and requests."""
 
 from __future__ import annotations
 
--- a/edge_router/model_checker/mutations/transport.py
+++ b/edge_router/model_checker/mutations/transport.py
@@ -1,4 +1,4 @@
-"""Mutations of the codecs, connections, client sessions and the change log."""
+"""Mutations of the codecs, the connections to caches, the client sessions and the change log decoder."""
 
 from __future__ import annotations
 
--- a/tests/test_model_checker_properties.py
+++ b/tests/test_model_checker_properties.py
@@ -1,4 +1,4 @@
-"""The properties hold in the small scope, every seeded fault violates one, and kept traces stay fixed."""
+"""The model checker finds every seeded fault, its hard cases hold, and faults of kept traces stay fixed."""
 
 from __future__ import annotations
 
@@ -15,41 +15,41 @@
 TRACES = sorted((Path(__file__).parent / "traces").glob("*.json"))
 
 
-def test_every_seeded_fault_is_found_and_every_property_broken_by_one() -> None:
+def test_every_seeded_fault_is_found_and_every_property_is_violated_by_one() -> None:
     found = mutation_run.search_mutations(
         [mutation.name for mutation in mutations.MUTATIONS], min(8, os.cpu_count() or 1)
     )
     wrong = [
-        (one.name, one.crash or one.found)
-        for one in found
-        if one.found is None or one.found.violation.property_name != one.breaks
+        (result.name, result.crash or result.found)
+        for result in found
+        if result.found is None or result.found.violation.property_name != result.breaks
     ]
     assert not wrong
     assert len(mutations.MUTATIONS) >= 20
-    assert {one.breaks for one in found} == set(PROPERTIES)
+    assert {result.breaks for result in found} == set(PROPERTIES)
 
 
 @pytest.mark.parametrize("case", HARD_CASES)
-def test_hard_cases_are_in_their_scope(case: str) -> None:
-    one = scope.named(scope.SMALL, HARD_CASES[case])
-    world = model_factory(one)()
+def test_hard_cases_are_reachable_and_hold_in_their_scope(case: str) -> None:
+    bounds = scope.named(scope.SMALL, HARD_CASES[case])
+    model = model_factory(bounds)()
     for step in HARD_STEPS[case]:
-        assert step in world.enabled()
-        world.do(step)
-    assert len(HARD_STEPS[case]) <= one.depth
-    world.settle()
-    assert world.violations == []
+        assert step in model.enabled()
+        model.do(step)
+    assert len(HARD_STEPS[case]) <= bounds.depth
+    model.settle()
+    assert model.violations == []
 
 
 @pytest.mark.parametrize("path", TRACES, ids=lambda path: path.stem)
-def test_what_was_found_once_stays_mended(path: Path) -> None:
+def test_faults_of_kept_traces_stay_fixed(path: Path) -> None:
     trace = Trace.read(path)
-    assert trace.mutation, "a kept trace names the fault that its mend took out"
+    assert trace.mutation, "a kept trace names the mutation that plants its fault again"
     try:
-        _, broken = trace.replay()
-        assert trace.property_name in {violation.property_name for violation in broken}
-        mended = Trace(trace.scope, trace.steps, trace.property_name, trace.detail)
-        assert mended.replay()[1] == []
-        assert "nothing is broken" in mended.report()
+        _, violations = trace.replay()
+        assert trace.property_name in {violation.property_name for violation in violations}
+        without_fault = Trace(trace.scope, trace.steps, trace.property_name, trace.detail)
+        assert without_fault.replay()[1] == []
+        assert "nothing is broken" in without_fault.report()
     finally:
         mutations.plant("")
--- a/tests/test_model_checker_states.py
+++ b/tests/test_model_checker_states.py
@@ -1,4 +1,4 @@
-"""The states of the model checker: their fingerprints, how they are restored, and the set of visited ones."""
+"""The states of the model checker: fingerprints, copies that restore a state, and the set of visited ones."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from edge_router.model_checker.visited import FingerprintSet, PlainSet
 
 
-def test_the_fingerprint_knows_every_field() -> None:
-    one = scope.named(scope.SMALL, "links")
-    model = run(model_factory(one), ("ask 0", "decide", "up c1.0", "wait", "fire"))
+def test_the_ledger_lists_every_field() -> None:
+    links = scope.named(scope.SMALL, "links")
+    model = run(model_factory(links), ("ask 0", "decide", "up c1.0", "wait", "fire"))
     assert isinstance(model, RouterModel)
     assert check_fields(all_parts(model.state)) == []
     vars(model.state.harness.router)["_new"] = 1
@@ -24,32 +24,32 @@
     ]
 
 
-def test_states_are_told_apart_by_what_matters_alone() -> None:
+def test_encoding_ignores_the_order_of_independent_steps_but_no_difference_in_state() -> None:
     start = model_factory(small("clients"))
-    one = run(start, ("ask 0", "ask 1", "decide", "up c1.0", "up c1.1")).encode()
-    assert run(start, ("ask 0", "ask 1", "decide", "up c1.1", "up c1.0")).encode() == one
-    assert run(start, ("ask 0", "ask 1", "decide", "up c1.0")).encode() != one
-    assert run(start, ("ask 0", "ask 1", "decide", "up c1.0", "up c1.1", "wait")).encode() != one
+    reference = run(start, ("ask 0", "ask 1", "decide", "up c1.0", "up c1.1")).encode()
+    assert run(start, ("ask 0", "ask 1", "decide", "up c1.1", "up c1.0")).encode() == reference
+    assert run(start, ("ask 0", "ask 1", "decide", "up c1.0")).encode() != reference
+    assert run(start, ("ask 0", "ask 1", "decide", "up c1.0", "up c1.1", "wait")).encode() != reference
 
 
-@pytest.mark.parametrize("way", [Replay(model_factory(small("links"))), DeepCopy(), Pickle()])
-def test_each_way_back_leads_to_the_same_state(way: StateCopier) -> None:
+@pytest.mark.parametrize("copier", [Replay(model_factory(small("links"))), DeepCopy(), Pickle()])
+def test_each_copier_restores_the_same_state(copier: StateCopier) -> None:
     start, steps = model_factory(small("links")), ("ask 0", "decide", "up c1.0", "wait", "fire", "up c1.1")
-    world = run(start, steps)
-    way.capture(world, steps)
+    model = run(start, steps)
+    copier.capture(model, steps)
     for further in (("hit c1.0 0",), ("reset c1.1", "end c1.1")):
-        there = way.restore()
+        restored = copier.restore()
         for step in further:
-            there.do(step)
-        assert there.encode() == run(start, (*steps, *further)).encode()
-    assert way.restore().encode() == world.encode()
+            restored.do(step)
+        assert restored.encode() == run(start, (*steps, *further)).encode()
+    assert copier.restore().encode() == model.encode()
 
 
-def test_the_set_of_states_agrees_with_a_plain_one() -> None:
+def test_the_fingerprint_set_agrees_with_a_plain_set() -> None:
     np = pytest.importorskip("numpy")
-    chooser, ours, plain = np.random.default_rng(7), FingerprintSet(), PlainSet()
+    random, fingerprints, plain = np.random.default_rng(7), FingerprintSet(), PlainSet()
     for size in (1, 5, 700, 3, 900, 40, 2000):
-        batch = chooser.integers(0, 3000, size, dtype=np.uint64)
-        assert ours.add(batch).tolist() == plain.add(batch).tolist()
-        assert len(ours) == len(plain)
-    assert ours.nbytes() == 8 * len(plain) < plain.nbytes()
+        batch = random.integers(0, 3000, size, dtype=np.uint64)
+        assert fingerprints.add(batch).tolist() == plain.add(batch).tolist()
+        assert len(fingerprints) == len(plain)
+    assert fingerprints.nbytes() == 8 * len(plain) < plain.nbytes()
