--- a/edge_router/model_checker/model/caches.py
+++ b/edge_router/model_checker/model/caches.py
@@ -100,7 +100,7 @@
         class_name = self._clients.requests[index].class_name
         return self._make_response(kind, request_id_at(index), channel.connection.endpoint_id, class_name)
 
-    def _report(
+    def _notify_observer(
         self, channel: CacheChannel, request_id: str, code: str, body: bytes, created_at: float
     ) -> None:
         number = channel.attempt_numbers.get(request_id, -1)
@@ -111,7 +111,7 @@
         channel, request_id = self._harness.channel(name), request_id_at(index)
         response = self._response_to(kind, channel, index)
         channel.record_response(request_id, response.data)
-        self._report(channel, request_id, ANSWERS[kind][0], response.body, response.created_at)
+        self._notify_observer(channel, request_id, ANSWERS[kind][0], response.body, response.created_at)
         channel.deliver(response.data)
 
     def answer_again(self, name: str, index: int) -> None:
@@ -152,7 +152,7 @@
         data, channel.unsent = channel.unsent, b""
         assert channel.partial is not None
         partial = channel.partial
-        self._report(channel, partial.request_id, "200", partial.body, partial.created_at)
+        self._notify_observer(channel, partial.request_id, "200", partial.body, partial.created_at)
         channel.deliver(data)
 
     def router_steps(self) -> list[str]:
--- a/edge_router/model_checker/model/clients.py
+++ b/edge_router/model_checker/model/clients.py
@@ -29,7 +29,7 @@
 ETAG = "aa11"  # of every copy
 IDEMPOTENCY_KEY = "k1"
 
-_STATUS_LINE = len("Status: 200")
+_STATUS_LENGTH = len("Status: 200")
 _RESPONSE_KINDS = {
     "Status: 200": ResponseKind.SERVED,
     "Status: 503": ResponseKind.REJECTED,
@@ -94,7 +94,7 @@
         )
 
     def purged_object(self) -> int:
-        """Returns the object that the step `purge` purges: that of the first class that is cached."""
+        """Returns the object that the step `purge` purges: if possible, one of a class that is cached."""
         cached = [name for name in self._scope.requests if not CLASSES[name].uncacheable]
         return self._objects[cached[0] if cached else self._scope.requests[0]]
 
@@ -114,7 +114,7 @@
 
     def _response_received(self, ident: int, answer: bytes) -> None:
         head, _, body = answer.partition(b"\r\n\r\n")
-        kind = _RESPONSE_KINDS.get(head.decode("latin-1")[:_STATUS_LINE], ResponseKind.FAILED)
+        kind = _RESPONSE_KINDS.get(head.decode("latin-1")[:_STATUS_LENGTH], ResponseKind.FAILED)
         if b"X-Notmod" in head:
             kind = ResponseKind.NOT_MODIFIED
         self._harness.observer.client_response_received(request_id_at(ident - 1), kind, body)
--- a/edge_router/model_checker/observations.py
+++ b/edge_router/model_checker/observations.py
@@ -16,11 +16,11 @@
 
 
 class ResponseKind(StrEnum):
-    """The kind of answer that a client has received."""
+    """The kind of answer that a client has received; the values are used in messages only."""
 
     SERVED = "served"
-    NOT_MODIFIED = "unchanged"  # the client's own copy is still valid
-    REJECTED = "refused"
+    NOT_MODIFIED = "not modified"  # the client's own copy is still valid
+    REJECTED = "rejected"
     FAILED = "failed"
 
 
@@ -60,7 +60,7 @@
     """A request as its client sees it."""
 
     class_name: str
-    deadline: float  # Unix milliseconds by which it must be answered
+    deadline: float  # Unix milliseconds by which it must be answered, including the backstop's delay
     state: RequestState = RequestState.OPEN
     attempts: list[ObservedAttempt] = field(default_factory=list)
     # The numbers of the attempts whose end the decision module was notified of.
--- a/edge_router/model_checker/properties.py
+++ b/edge_router/model_checker/properties.py
@@ -243,12 +243,15 @@
     ) -> None:
         if not self._is_ready(endpoint_id):
             self.record_violation(
-                "no-drained", f"attempt {number} of {request.class_name} is sent to s-{endpoint_id:08x}"
+                "no-drained",
+                f"attempt {number} of {request.class_name} is sent "
+                f"to s-{endpoint_id:08x}, which is not ready",
             )
         if source_id is not None and not self._is_ready(source_id):
             self.record_violation(
                 "no-drained-source",
-                f"attempt {number} of {request.class_name} names the source s-{source_id:08x}",
+                f"attempt {number} of {request.class_name} names the source "
+                f"s-{source_id:08x}, which is not ready",
             )
 
     def _check_repetition(self, request: ObservedRequest, number: int, endpoint_id: int, now: float) -> None:
@@ -327,7 +330,7 @@
         attempt.ended = True
 
     def request_received(self, request_id: str, class_name: str, deadline: float) -> None:
-        """Records a complete request that must be answered by `deadline` (Unix milliseconds)."""
+        """Records a complete request that must be answered by `deadline`, in Unix milliseconds."""
         self.requests[request_id] = ObservedRequest(class_name, deadline)
 
     def client_disconnected(self, request_id: str) -> None:
@@ -349,11 +352,11 @@
         request = self.requests[request_id]
         if request.state is RequestState.CLIENT_DISCONNECTED:
             self.record_violation(
-                "none-to-left", f"{response} to {request.class_name}, whose client has disconnected"
+                "none-to-left", f"answer {response} to {request.class_name}, whose client has disconnected"
             )
         elif request.state is not RequestState.OPEN:
             self.record_violation(
-                "one-answer", f"{response} to {request.class_name}, which is {request.state}"
+                "one-answer", f"answer {response} to {request.class_name}, which is {request.state}"
             )
         request.state = RequestState.ANSWERED
         if response is ResponseKind.REJECTED:
