--- a/edge_router/config/platform_file.py
+++ b/edge_router/config/platform_file.py
@@ -51,7 +51,7 @@
     settings: Settings
 
     def identity(self) -> dict[str, object]:
-        """Returns the values that identify a router, by their names in the log; no reload changes them."""
+        """Returns the values that identify a router, by their keys in the file; no reload changes them."""
         settings = self.settings
         return {
             "name": self.name,
@@ -67,7 +67,9 @@
     """Parses `host:port`; raises ConfigError."""
     host, separator, port = str(text).rpartition(":")
     if not separator or not host or not port.isdigit() or int(port) > MAX_PORT:
-        raise ConfigError(f"{text!r} is not an address such as 10.0.0.4:6565")
+        raise ConfigError(
+            f"listen, RELAY_LISTEN or changelog: {text!r} is not an address such as 10.0.0.4:6565"
+        )
     return host, int(port)
 
 
--- a/edge_router/config/reload.py
+++ b/edge_router/config/reload.py
@@ -9,13 +9,13 @@
 from edge_router.config.platform_file import ConfigError, ConfigUnreadableError, RouterConfig, read_config
 from edge_router.runtime.event_log import log
 
-INITIAL_BACKOFF = 0.05  # seconds between the first two attempts; doubled with each further attempt
+INITIAL_BACKOFF = 0.05  # seconds between the first two reads of the file; doubled with each further read
 MAX_BACKOFF = 1.0  # seconds
 RETRY_PERIOD = 30.0  # seconds for which an unreadable file is retried
 
 
 class IdentityMismatchError(ConfigError):
-    """A configuration of another router, whose change log would report the caches of that router."""
+    """A configuration of another router; its change log would report that router's caches."""
 
     def __init__(self, fields: tuple[str, ...]) -> None:
         """`fields`: the names of the values of `RouterConfig.identity` that differ."""
@@ -62,7 +62,7 @@
             except ConfigError as error:
                 log("configuration-rejected", reason=str(error))
                 return
-            if reason != last_reason:  # a repeated error is logged only once
+            if reason != last_reason:  # an error is logged again only when it changes
                 log("configuration-rejected", reason=reason, next="will be retried")
                 last_reason = reason
             if trio.current_time() >= end:
