--- a/edge_router/proxy/accounting.py
+++ b/edge_router/proxy/accounting.py
@@ -33,7 +33,7 @@
         self._post = post_event
         self.counts: Counter[str] = Counter()
         self.invariants = InvariantChecker(settings, self.counts)
-        self._max_queue_time = 0.0  # ms; the longest wait for a decision since the last statistics line
+        self._max_queue_time = 0.0  # ms; longest wait to be shed or routed since the last statistics line
 
     def attempt_ended(
         self,
@@ -97,7 +97,7 @@
             self._admission.release(request)
 
     def record_queue_time(self, queue_time: float) -> None:
-        """Records for how long (ms) a request waited for its decision."""
+        """Records for how long (ms) a request waited until it was shed or routed."""
         self._max_queue_time = max(self._max_queue_time, queue_time)
 
     def log_statistics(self, **other_figures: object) -> None:
--- a/edge_router/proxy/cache_response.py
+++ b/edge_router/proxy/cache_response.py
@@ -17,7 +17,7 @@
     "404": Outcome.MISS,
     "503": Outcome.OVERLOADED,
     "500": Outcome.ERROR,
-    "504": Outcome.NOT_SENT,
+    "504": Outcome.NOT_SENT,  # the request was already over at its arrival: it did not run, as if not sent
 }
 NOT_MODIFIED = "304"
 
--- a/edge_router/proxy/discovery_updates.py
+++ b/edge_router/proxy/discovery_updates.py
@@ -82,10 +82,11 @@
         self._dispatcher.pool.close_removed_endpoints()
 
     def _with_local_start(self, endpoint: Endpoint) -> Endpoint:
-        """Return the endpoint with its start time (ms) converted from its clock to the router's clock.
+        """Return the endpoint with its start time converted from Unix ms to ms of the router's clock.
 
         Each start is converted only once, so that the result stays the same while the estimate of the clock
-        offset changes. The result is never in the future.
+        offset, which is common to all peers, changes. The result is never in the future. A start time of 0 or
+        less means unknown and is returned unchanged.
         """
         if endpoint.started_at <= 0:
             return endpoint
--- a/edge_router/proxy/fetch_command.py
+++ b/edge_router/proxy/fetch_command.py
@@ -72,4 +72,4 @@
         return resp.encode(b"abort", self.request_id.encode())
 
     def on_not_written(self) -> None:
-        """Do nothing: the connection has ended, and the attempt has ended with it."""
+        """Do nothing: the attempt has already ended, and the command stays queued."""
--- a/edge_router/proxy/invariants.py
+++ b/edge_router/proxy/invariants.py
@@ -1,8 +1,8 @@
 """Run-time checks of the router's invariants, made when it sends an attempt, responds or closes a request.
 
-The checks do not rely on the routing policy; they use the recorded attempts alone. A violation is logged as
-`invariant-violation` with the request's id, and counted in the statistics as `violation_` followed by the
-value of the `Invariant`. The router continues.
+The checks use the recorded attempts, the settings and `decision.rules`, but not the routing policy's state. A
+violation is logged as `invariant-violation` with the request's id, and counted in the statistics as
+`violation_` followed by the value of the `Invariant`. The router continues.
 """
 
 from __future__ import annotations
@@ -16,7 +16,9 @@
 from edge_router.proxy.request_table import ActiveRequest, Attempt
 from edge_router.runtime.event_log import log_rate_limited
 
-MAX_RESPONSE_DELAY = 500.0  # ms after a request's deadline; a later response counts as lost
+# ms after a request's deadline. A later response violates RESPONSE_IN_TIME; the operators count the request
+# as lost.
+MAX_RESPONSE_DELAY = 500.0
 DEADLINE_TOLERANCE = 1.0  # ms
 
 
@@ -67,7 +69,10 @@
             self._report(Invariant.RESPONSE_IN_TIME, request, f"{delay:.0f} ms after its deadline")
 
     def check_closed(self, request: ActiveRequest) -> None:
-        """Checks a request before it is closed."""
+        """Checks a request before it is closed.
+
+        The present caller closes only answered requests, so this guards against a change of callers.
+        """
         if not request.answered:
             self._report(Invariant.CLOSED_WITH_RESPONSE, request)
 
--- a/edge_router/proxy/messages.py
+++ b/edge_router/proxy/messages.py
@@ -23,7 +23,7 @@
 
     SERVED = "served"
     NOT_MODIFIED = "not_modified"  # the client's own copy is current
-    REJECTED = "rejected"  # not executed: the client may retry
+    REJECTED = "rejected"  # a retry is safe: no attempt can have run, or the class allows a repeat
     FAILED = "failed"
 
 
@@ -53,7 +53,7 @@
     object_key: int
     segment: int
     purge_group: int
-    size_kb: float
+    size_kb: float  # size of the object as the client states it, in KB of the simulator
     timeout: float  # ms that the client waits, counted from when it sent the request
     client_etag: str | None  # entity tag of the copy that the client has
     body: bytes
--- a/edge_router/proxy/response_handler.py
+++ b/edge_router/proxy/response_handler.py
@@ -43,7 +43,10 @@
         self._accounting.close_if_finished(request)
 
     def client_disconnected(self, request: ActiveRequest) -> None:
-        """Records that the client has disconnected and needs no response."""
+        """Marks a request as answered because its client has disconnected; sends nothing.
+
+        If the client has closed only its sending side, the frontend sends a response itself.
+        """
         request.answered = True
         self._accounting.counts["client_disconnected"] += 1
         self._accounting.close_if_finished(request)
--- a/edge_router/proxy/response_validation.py
+++ b/edge_router/proxy/response_validation.py
@@ -14,12 +14,12 @@
 from edge_router.proxy.request_table import Attempt
 from edge_router.runtime.peer_clock import PeerClock
 
-AGE_TOLERANCE = 50.0  # ms by which a copy may appear older than the requested maximum
+AGE_TOLERANCE = 50.0  # ms by which a copy may appear older than its maximum age
 MAX_LOGGED_STATUS = 20  # characters of an unknown status that are logged
 
 
 class MalformedResponseError(RespError):
-    """A response that no correct cache sends; no further data on its connection can be trusted."""
+    """A response that cannot be interpreted; no further data on its connection can be trusted."""
 
 
 class DefectKind(StrEnum):
@@ -28,12 +28,12 @@
     ETAG_MISMATCH = "not modified, but its entity tag is not that of the client's copy"
     NOT_MODIFIED_WITH_BODY = "not modified, but it has a body"
     PURGED = "older than a purge"
-    TOO_OLD = "older than requested"
+    TOO_OLD = "older than permitted"
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseDefect:
-    """Why a copy must not be served; for TOO_OLD with its age and the requested maximum, both in ms."""
+    """Why a copy must not be served; for TOO_OLD with its age and the maximum age, both in ms."""
 
     kind: DefectKind
     age: float | None = None
@@ -41,7 +41,7 @@
 
     def __str__(self) -> str:
         if self.kind is DefectKind.TOO_OLD:
-            return f"{self.age:.0f} ms old, requested maximum {self.max_age:.0f} ms"
+            return f"{self.age:.0f} ms old, maximum age {self.max_age:.0f} ms"
         return self.kind.value
 
 
@@ -54,9 +54,10 @@
         self._purges = purges
 
     def check_well_formed(self, attempt: Attempt, response: CacheResponse) -> None:
-        """Raises MalformedResponseError for a response that no correct cache sends.
+        """Raises MalformedResponseError for a response that cannot be interpreted.
 
-        The status of such a response proves nothing; in particular, the attempt may have run.
+        It has an unknown status, an error status with a body, too long a body, or lacks a valid entity tag or
+        creation time. Its status proves nothing; in particular, the attempt may have run.
         """
         if response.status not in OUTCOME_BY_STATUS:
             raise MalformedResponseError(f"unknown response status {response.status[:MAX_LOGGED_STATUS]!r}")
@@ -99,5 +100,5 @@
 
     @staticmethod
     def _max_age(class_settings: ClassSettings, attempt: Attempt) -> float | None:
-        """Returns the maximum age (ms) of a copy for the attempt; None if there is no maximum."""
+        """Returns the maximum age (ms): the attempt's, else the class's freshness lifetime, else None."""
         return attempt.instruction.max_age or class_settings.freshness_lifetime or None
