--- a/edge_router/server/client_acceptor.py
+++ b/edge_router/server/client_acceptor.py
@@ -23,17 +23,19 @@
 IDLE_TIMEOUT = 60_000.0  # ms after which a client connection without open requests is closed
 IDLE_CHECK_INTERVAL = 5.0  # seconds
 TIMEOUT_CHECK_INTERVAL = 0.25  # seconds between two checks of requests that clients send slowly
-# Seconds. A check that runs later than this is skipped, because this process stalled and not the clients.
+# Seconds. A check that runs later than this is skipped: the delay is this process's fault, not the clients'.
 MAX_TIMEOUT_CHECK_LAG = 0.5
 MIN_SILENT_TIME = 100.0  # ms for which a new client may send nothing before it can be evicted
-# Milliseconds after a request during which a client is not evicted, as its next request may be in flight.
+# Milliseconds after the last byte received or written before an idle client may be evicted, as its next
+# request may be in flight; also the time between the half-close of a client and its forced close.
 MIN_IDLE_TIME = 60.0
 EVICTION_BATCH = 0.125  # fraction of `max_clients` evicted at once, because each search visits every client
-FULL_TABLE_DELAY = 0.01  # seconds between two searches when no client can be evicted
-EVICTION_DELAY = 0.001  # seconds that evicted clients are given to close
+FULL_TABLE_DELAY = 0.01  # seconds until the next search, after one that neither selected nor closed a client
+EVICTION_DELAY = 0.001  # seconds until the next search, after one that selected or closed clients
 EXHAUSTED_DELAY = 0.05  # seconds before the next accept(2) when descriptors or memory are exhausted
 FINAL_RETRY_DELAY = 0.01  # seconds before the next accept(2) after a local shortage at shutdown
-MIN_CLIENTS = 8  # lower bound of `max_clients`, however few sockets the configuration allows
+# Initial value and lower bound of `max_clients`; half of the smallest number of sockets that is configurable.
+MIN_CLIENTS = 8
 EXPECTED_CLOSE_REASONS = frozenset(
     (
         CloseReason.CLIENT_CLOSED,
@@ -56,13 +58,13 @@
         clock: Clock,
         timers: Timers,
         budget: MemoryBudget,
-        connection_count: Callable[[], int],
+        upstream_connection_count: Callable[[], int],
         spawn: Spawn,
     ) -> None:
         """Creates an empty table.
 
-        `connection_count` returns the number of upstream connections, for the log; `spawn` starts the task of
-        one connection, and must keep its errors from ending other tasks.
+        `upstream_connection_count` is called for the log; `spawn` starts the task of one connection, and must
+        keep its errors from ending other tasks.
         """
         self.clients: set[ClientConnection] = set()
         self.max_clients = MIN_CLIENTS
@@ -70,7 +72,7 @@
         self._clock = clock
         self._timers = timers
         self._budget = budget
-        self._connection_count = connection_count
+        self._upstream_connection_count = upstream_connection_count
         self._spawn = spawn
         self._scope = trio.CancelScope()
 
@@ -88,7 +90,7 @@
 
         A failed accept(2), caused for example by an aborted connection or a brief lack of descriptors, is
         retried until `end` (seconds of trio's clock), because closing the listener would reset the other
-        pending connections.
+        pending connections. If it still fails at `end`, the method returns and leaves them pending.
         """
         while True:
             try:
@@ -102,12 +104,12 @@
                 await trio.sleep(FINAL_RETRY_DELAY if is_local_shortage(error) else 0)
 
     def close_all_idle(self, reason: CloseReason) -> None:
-        """Half-closes every client without open requests."""
+        """Half-closes every client without open requests or unread input."""
         for client in list(self.clients):
             client.close_if_idle(reason)
 
     async def run_idle_checks(self) -> None:
-        """Closes clients that have been idle for `IDLE_TIMEOUT`."""
+        """Half-closes clients that have been idle for `IDLE_TIMEOUT`."""
         while True:
             await trio.sleep(IDLE_CHECK_INTERVAL)
             used_before = self._clock.now() - IDLE_TIMEOUT
@@ -139,12 +141,12 @@
 
     async def _on_accept_failed(self, error: OSError) -> None:
         """Logs the failure; if descriptors or memory are exhausted, evicts idle clients and waits."""
-        exhausted = error.errno in RESOURCE_EXHAUSTED
+        exhausted = error.errno in RESOURCE_EXHAUSTED  # the event is logged for a lack of memory, too
         log_rate_limited(
             "descriptors-exhausted" if exhausted else "accept-failed",
             reason=error.strerror,
             clients=len(self.clients),
-            upstream_connections=self._connection_count(),
+            upstream_connections=self._upstream_connection_count(),
         )
         if exhausted:
             self._evict_idle()
@@ -180,11 +182,11 @@
                 self.clients.discard(client)
 
     def _evict_idle(self) -> bool:
-        """Closes clients that never sent anything, else the longest idle; returns whether any qualified.
+        """Half-closes the longest silent clients, else the longest idle; returns whether it acted on any.
 
-        Clients are half-closed first and closed by a later call, so that a client that is just sending a
-        request sees an orderly end instead of a reset. While half-closed clients remain, no others are
-        chosen.
+        A later call closes them, once `MIN_IDLE_TIME` has passed, so that a client that is just sending a
+        request sees an orderly end instead of a reset. While any closing client is fully answered, no others
+        are selected; the result is then false until one of those has been closing for long enough.
         """
         now = self._clock.now()
         closing = [client for client in self.clients if client.is_closing() and client.is_fully_answered()]
