--- a/edge_router/server/graceful_shutdown.py
+++ b/edge_router/server/graceful_shutdown.py
@@ -16,11 +16,13 @@
 from edge_router.transport.close_reason import CloseReason
 
 ACCEPT_GRACE_PERIOD = 0.8  # seconds after SIGTERM during which new connections and requests are accepted
-# The platform sends SIGKILL this long after the longest deadline of any class, counted from SIGTERM. Seconds.
-KILL_DELAY = 0.7
-MAX_COUNTED_DEADLINE = 3.0  # seconds; the platform counts a longer deadline as this one
+# The platform sends SIGKILL min(longest deadline of any class, `MAX_COUNTED_DEADLINE`) + `KILL_DELAY` after
+# SIGTERM.
+KILL_DELAY = 0.7  # seconds
+MAX_COUNTED_DEADLINE = 3.0  # seconds
 KILL_MARGIN = 0.5  # seconds before SIGKILL by which all requests are answered
-FINAL_ACCEPT_TIME = 0.1  # further seconds during which a failed accept(2) of a pending connection is retried
+# Seconds after the time limit during which a failed accept(2) of a pending connection is retried.
+FINAL_ACCEPT_TIME = 0.1
 FINAL_WRITE_TIME = 0.3  # seconds to send the last responses, after all requests are answered
 POLL_INTERVAL = 0.01  # seconds
 
@@ -65,9 +67,10 @@
         self._end = trio.current_time() + self._time_limit
 
     async def run(self, listener: socket.socket) -> None:
-        """Accepts clients for the grace period, completes open requests, and rejects the rest at the limit.
+        """Accepts clients for the grace period, closes the listener, and waits for the open requests to end.
 
-        Closes the listener. If it raises, it may be called again: the time limit still counts from `start`.
+        At the time limit, answers the requests that are still open. If `run` raises, it may be called again,
+        and the limit still counts from `start`; once the listener is closed, a call before the limit raises.
         """
         assert self._end is not None, "start() comes first"
         end = self._end
@@ -84,7 +87,11 @@
         log("shutdown-complete", open=len(self._router.requests))
 
     async def _close_listener(self, listener: socket.socket, end: float) -> None:
-        """Closes the listener once no connection is pending: closing it would reset pending connections."""
+        """Stops the accept loop, accepts the connections that are still pending, and closes the listener.
+
+        Waits first for the accept loop to take pending connections, until `end` (seconds of trio's clock) at
+        the latest, because closing the listener resets those that are pending.
+        """
         while trio.current_time() < end and _has_pending_connection(listener):
             await trio.sleep(POLL_INTERVAL)
         self._acceptor.stop()
--- a/edge_router/server/server.py
+++ b/edge_router/server/server.py
@@ -26,7 +26,8 @@
 from edge_router.transport.upstream_channel import ChannelOwner
 from edge_router.transport.upstream_connection import TrioUpstreamChannel
 
-# Seconds. Timers that are due close together run in one wake-up, which costs as much as many callbacks.
+# Seconds by which a timer may run late, so that timers due close together share one wake-up, which costs as
+# much as many callbacks. A new timer that becomes the earliest ends the wait at once.
 TIMER_GRANULARITY = 0.005
 HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
@@ -38,7 +39,7 @@
         self._config = config
         self._nursery = nursery
         self._clock = Clock()
-        self._earlier_timer_set = trio.Event()
+        self._earlier_timer_event = trio.Event()
         self._timers = Timers(self._clock, trio.current_time, self._on_earlier_timer)
         self._decision_pending = trio.Event()
         budget = MemoryBudget()
@@ -89,6 +90,7 @@
                 self._on_signal(signal.Signals(number), listener)
 
     def _start_tasks(self, listener: socket.socket) -> None:
+        # If a task fails, the log shows its name in the field `task`.
         for name, task in (
             ("timers", self._run_timers),
             ("decide", self._run_decisions),
@@ -112,24 +114,24 @@
             self._nursery.start_soon(self._shut_down, listener)
 
     async def _shut_down(self, listener: socket.socket) -> None:
-        """Runs the graceful shutdown, then cancels all tasks."""
+        """Runs the graceful shutdown, which the log calls `drain`, then cancels all tasks."""
         await keep_running("drain", partial(self._shutdown.run, listener))
-        # The signal receiver restores the default handlers before the process exits; a signal that arrives
-        # then would kill the process.
+        # Blocks the signals, because the signal receiver restores the default handlers before the process
+        # exits, and a signal that arrives then would kill the process.
         signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
         self._nursery.cancel_scope.cancel()
 
     def _on_earlier_timer(self) -> None:
-        self._earlier_timer_set.set()
+        self._earlier_timer_event.set()
 
     async def _run_timers(self) -> None:
         """Runs the callbacks of timers when they are due."""
         while True:
-            self._earlier_timer_set = trio.Event()
+            self._earlier_timer_event = trio.Event()
             now = trio.current_time()
             self._timers.run_due()
             with trio.move_on_at(max(self._timers.next_due(), now + TIMER_GRANULARITY)):
-                await self._earlier_timer_set.wait()
+                await self._earlier_timer_event.wait()
 
     def _on_decision_pending(self) -> None:
         self._decision_pending.set()
