--- a/edge_router/server/config_applier.py
+++ b/edge_router/server/config_applier.py
@@ -11,13 +11,14 @@
 from edge_router.runtime.memory_budget import MemoryBudget
 from edge_router.server.client_acceptor import MIN_CLIENTS, ClientAcceptor
 
-# Fraction of the memory limit for buffered requests and responses. It is small because they are also copied.
+# Fraction of the memory limit that buffered requests and responses may use. The rest is for the interpreter
+# and for copies of their data, which the memory budget does not count.
 BUFFER_MEMORY_SHARE = 0.25
 RESTART_FIELDS = ("transfer_bandwidth", "settings")  # fields of `RouterConfig` that only a restart changes
 
 
 class ConfigApplier:
-    """Passes the values of a configuration to the parts of the router that enforce them."""
+    """Passes the limits and the address of the change log to the parts of the router that use them."""
 
     def __init__(
         self,
@@ -35,6 +36,7 @@
 
     def apply_limits(self, config: RouterConfig) -> None:
         """Applies the limits on sockets, memory and CPU."""
+        # Clients get half of the sockets, and upstream connections a third; the rest is a reserve.
         self._acceptor.max_clients = max(MIN_CLIENTS, config.max_sockets // 2)
         self._budget.limit = config.memory_mb * BUFFER_MEMORY_SHARE * 1e6
         self._router.dispatcher.pool.max_connections = connection_limit(config.max_sockets)
--- a/edge_router/server/startup.py
+++ b/edge_router/server/startup.py
@@ -21,9 +21,9 @@
 
 
 def retry_transient_errors(step: Callable[[], Result]) -> Result:
-    """Runs the step until it succeeds and returns its result.
+    """Runs the step until it succeeds and returns its result; blocks the process meanwhile.
 
-    Raises the step's error if it is not transient, or after `RETRY_PERIOD`.
+    Raises the step's error if it is not transient, or if the step still fails after `RETRY_PERIOD`.
     """
     started_at = time.monotonic()
     last_error: Exception | None = None
@@ -36,7 +36,7 @@
             last_error = error
             time.sleep(RETRY_DELAY)
         else:
-            # Logged only after success: the caller reports an error that persists, and one line is enough.
+            # Logged only after success: an error that persists is raised, and one report of it is enough.
             if last_error is not None:
                 log("start-delayed", reason=str(last_error), by_ms=(time.monotonic() - started_at) * 1000.0)
             return result
--- a/edge_router/server/statistics_reporter.py
+++ b/edge_router/server/statistics_reporter.py
@@ -46,7 +46,7 @@
             loop_lag_ms=loop_lag * 1000.0,
             reserved_kb=self._budget.used / 1e3,
             resident_mb=self._memory.resident_mb(),
-            gc_collections=gc.get_stats()[2]["collections"],
+            gc_collections=gc.get_stats()[2]["collections"],  # of the oldest generation, since startup
             cpu_ms=(time.process_time() - cpu_before) * 1000.0,
             **self._router.statistics(),
         )
--- a/edge_router/server/supervisor.py
+++ b/edge_router/server/supervisor.py
@@ -12,7 +12,10 @@
 
 
 async def keep_running(name: str, task: Callable[[], Awaitable[None]]) -> None:
-    """Runs a task until it returns, and restarts it whenever it raises; each failure is logged."""
+    """Runs a task until it returns; after an error, waits for `RESTART_DELAY` and restarts it.
+
+    Errors are logged, at a limited rate for all tasks together.
+    """
     while True:
         try:
             await task()
