--- a/edge_router/cli/__init__.py
+++ b/edge_router/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line. A command imports its modules when it is called, so that none loads those of another."""
+"""The command line. A command imports what it needs when it runs, so that other commands start without it."""
--- a/edge_router/cli/demo.py
+++ b/edge_router/cli/demo.py
@@ -1,4 +1,4 @@
-"""`edge_router demo`: runs the router with simulated backends and prints what happens in each phase."""
+"""`edge-router demo`: runs the router with simulated backends and prints what happens in each phase."""
 
 from __future__ import annotations
 
@@ -91,7 +91,7 @@
         fetches_before = cache.fetches
         self._run_phase(1, f"{cache.name} is draining")
         fetches = cache.fetches - fetches_before
-        _print(f"{cache.name} got {fetches} fetches more than 250 ms after the drain was published")
+        _print(f"{cache.name} got {fetches} fetches after the drain took effect")
         if fetches:
             self._problems.append("a draining cache got new requests")
 
--- a/edge_router/cli/explore.py
+++ b/edge_router/cli/explore.py
@@ -1,4 +1,4 @@
-"""`edge_router explore`: runs the model checker, which plays every order of events within stated bounds.
+"""`edge-router explore`: runs the model checker, which plays every order of events within stated bounds.
 
 It executes the router's own code, with simulated peers and time.
 """
@@ -19,14 +19,14 @@
     from edge_router.model_checker.scope import Scope
     from edge_router.model_checker.trace import Trace
 
-MAX_VIOLATIONS_SHOWN = 6  # per scope
+MAX_VIOLATIONS_SHOWN = 6  # per scope, each of another property
 
 
 class ExitStatus(IntEnum):
     """Exit statuses of the commands."""
 
     NO_VIOLATIONS = 0
-    VIOLATIONS = 1
+    VIOLATIONS = 1  # for `seeded`: a mutation was not found
     INVALID_INPUT = 2  # arguments are invalid, or a file can't be read
 
 
@@ -34,7 +34,8 @@
 def explore() -> None:
     """Check the router's properties in every order of events within stated bounds.
 
-    Exit status 0: no violation, 1: violations found, 2: invalid arguments or an unreadable file.
+    Exit status 0: no violation, 1: violations found, 2: invalid arguments or an unreadable file. The command
+    `seeded` exits with 0 if all mutations were found, and with 1 if any was not.
     """
 
 
@@ -58,7 +59,10 @@
 def _report_violations(
     scope_name: str, result: Result, scopes: tuple[Scope, ...], folder: Path | None
 ) -> None:
-    """Prints the first violation of each property, and saves its trace in the folder if there is one."""
+    """Prints the first violation of each property, for `MAX_VIOLATIONS_SHOWN` properties at most.
+
+    Saves their traces in the folder if there is one; violations by the channel and the codecs have no trace.
+    """
     from edge_router.model_checker.scope import named
     from edge_router.model_checker.trace import Trace, model_factory, shrink
 
@@ -93,17 +97,19 @@
 @click.option(
     "--save",
     type=click.Path(path_type=Path, dir_okay=False),
-    help="Save the frontier to files with this prefix, and continue from them if they exist.",
+    help="Save the progress of each scope in FILE.<scope>, and continue from it if it exists.",
 )
 @click.option(
     "--save-every",
     default=20.0,
     show_default=True,
     type=click.FloatRange(0.0),
-    help="Seconds between two saves of the frontier.",
+    help="Seconds between two saves of the progress.",
 )
 @click.option(
-    "--traces", type=click.Path(path_type=Path, file_okay=False), help="Save counterexamples in this folder."
+    "--traces",
+    type=click.Path(path_type=Path, file_okay=False),
+    help="Save counterexamples in this folder, except those of the connection and the codecs.",
 )
 @click.option(
     "--depth", type=click.IntRange(1, 60), help="Maximum number of steps; only with a single scope."
@@ -116,7 +122,11 @@
     traces: Path | None,
     depth: int | None,
 ) -> None:
-    """Explore a scope, or a set of scopes, exhaustively."""
+    """Explore all states of a scope or a set of scopes, then those of one connection, then the codecs.
+
+    A scope is a set of requests, peers and faults, with a maximum number of steps. One that takes longer than
+    400 s is ended and reported as incomplete.
+    """
     from edge_router.model_checker.expander import WorkerPool
     from edge_router.model_checker.explorations import explore_all
     from edge_router.model_checker.frontier import SavedFrontierError
@@ -161,7 +171,10 @@
     "--processes", default=0, type=click.IntRange(0, 64), help="Worker processes; 0: one per core, at most 8."
 )
 def seeded_command(only: tuple[str, ...], processes: int) -> None:
-    """Plant each mutation in the router's code, and print which property it violates."""
+    """Plant each mutation in the router's code, and print which property it violates.
+
+    Exits with 1 if any mutation was not found.
+    """
     from edge_router.model_checker.explorations import search_mutations
     from edge_router.model_checker.mutations import MUTATIONS
 
--- a/edge_router/cli/main.py
+++ b/edge_router/cli/main.py
@@ -1,4 +1,4 @@
-"""The commands of `edge_router`: the router, the model checker, the fault injection and a demonstration."""
+"""The commands of `edge-router`: the router, the model checker, the fault injection and a demonstration."""
 
 from __future__ import annotations
 
--- a/edge_router/cli/soak.py
+++ b/edge_router/cli/soak.py
@@ -36,7 +36,10 @@
 
 @click.command()
 @click.option(
-    "--seed", default=1, show_default=True, help="First seed; a seed determines settings and faults."
+    "--seed",
+    default=1,
+    show_default=True,
+    help="First seed; with the other options, a seed determines settings and faults.",
 )
 @click.option(
     "--runs",
@@ -65,7 +68,8 @@
 ) -> None:
     """Run routers, caches and clients as real processes while clocks, system calls, peers and processes fail.
 
-    Exits with 1 if any rule was violated, with 3 if the clients of a run sent too late for a conclusion.
+    Exits with 1 if any rule was violated, else with 3 if in any run a client sent a request more than 100 ms
+    late, so that the run proves nothing.
     """
     from edge_router.fault_injection.harness import run_scenario
     from edge_router.fault_injection.oracle import find_violations
