--- a/edge_router/model_checker/model/harness.py
+++ b/edge_router/model_checker/model/harness.py
@@ -137,9 +137,9 @@
     def on_log_line(self, event: str, fields: dict[str, object]) -> None:
         """Records a violation if the core has logged an internal error or a backstop timeout."""
         if event == "internal-error":
-            self.record_violation("no-slip", f"{fields.get('where')}: {fields.get('error')}")
+            self.record_violation("no-slip", f"{fields.get('location')}: {fields.get('error')}")
         elif event == "backstop-timeout" and not self.expired:
-            self.record_violation("decided", f"request {fields.get('req')} was left to the backstop")
+            self.record_violation("decided", f"request {fields.get('request')} was left to the backstop")
 
     def channel_name(self, channel: CacheChannel) -> str:
         """Returns the name of a connection, such as `c1.0`: its endpoint, and its index among those to it."""
