--- a/edge_router/server/server.py
+++ b/edge_router/server/server.py
@@ -106,7 +106,7 @@
     def _on_signal(self, number: signal.Signals, listener: socket.socket) -> None:
         """Starts a reload or the shutdown; during the shutdown, ignores signals so as not to shorten it."""
         if self._shutdown.started:
-            log("signal-ignored", signal=number.name, reason="stopping")
+            log("signal-ignored", signal=number.name, reason="shutting down")
         elif number == signal.SIGHUP:
             self._reloader.request()
         else:
