--- a/edge_router/cli/explore.py
+++ b/edge_router/cli/explore.py
@@ -44,7 +44,7 @@
 
 
 def _exit_invalid_input(message: str) -> NoReturn:
-    click.echo(f"edge_router explore: {message}", err=True)
+    click.echo(f"edge-router explore: {message}", err=True)
     sys.exit(ExitStatus.INVALID_INPUT)
 
 
