--- a/edge_router/protocol/buffer.py
+++ b/edge_router/protocol/buffer.py
@@ -26,8 +26,9 @@
         return self._end - self._start
 
     def writable_view(self, min_size: int = INITIAL_SIZE) -> memoryview:
-        """Returns a view of the free space to receive into, of `min_size` bytes or more below `max_size`.
+        """Returns a view of the free space to receive into.
 
+        It has at least `min_size` bytes, or fewer if `max_size` allows no more.
         Release the view (or leave its `with` block) before any other call: the buffer can't be resized while
         a view exists. Raises BufferFullError if there is no free space.
         """
--- a/edge_router/protocol/fastcgi.py
+++ b/edge_router/protocol/fastcgi.py
@@ -196,7 +196,9 @@
         self._clock = clock
         self._partial_requests: dict[int, _PartialRequest] = {}
         self.open_ids: set[int] = set()  # ids in use, until their END_REQUEST is written
-        self.consecutive_rejections = 0  # requests; the session counts rejections by the handler too
+        # Requests rejected in a row, here or by the handler. The session counts the latter, and resets the
+        # number after each accepted request. Requests that are not complete in time do not count.
+        self.consecutive_rejections = 0
         self.keep_connection = True  # whether the client asked to keep it open after the responses
 
     def complete_count(self) -> int:
@@ -223,13 +225,13 @@
                 yield event
 
     def expire_partial(self, started_before: float) -> Iterator[RequestComplete]:
-        """Rejects the partial requests that began before this time (ms on the clock)."""
+        """Yields, as invalid, the partial requests that began before this time (ms on the clock)."""
         for request_id in [
             request_id
             for request_id, partial in self._partial_requests.items()
             if partial.started_at < started_before
         ]:
-            yield self._reject_invalid(request_id, RequestError.RECEIVE_TIMEOUT)
+            yield self._complete_as_invalid(request_id, RequestError.RECEIVE_TIMEOUT)
 
     def close(self) -> None:
         """Releases the memory of partial requests; no input may follow."""
@@ -284,7 +286,7 @@
         elif not self._budget.can_reserve(len(content)):
             partial.over_budget = True
         elif partial.params_complete or len(partial.params) + len(content) > MAX_PARAMS_SIZE:
-            return self._reject_invalid(request_id, RequestError.PARAMS_TOO_LONG)
+            return self._complete_as_invalid(request_id, RequestError.PARAMS_TOO_LONG)
         else:
             partial.params += content
             self._budget.reserve(len(content))
@@ -298,7 +300,7 @@
         if not self._budget.can_reserve(len(content)):
             partial.over_budget = True
         elif len(partial.body) + len(content) > MAX_BODY_SIZE:
-            return self._reject_invalid(request_id, RequestError.BODY_TOO_LONG)
+            return self._complete_as_invalid(request_id, RequestError.BODY_TOO_LONG)
         else:
             partial.body += content
             self._budget.reserve(len(content))
@@ -315,12 +317,13 @@
             return RequestComplete(request_id, {}, b"", invalid)
         return RequestComplete(request_id, params, bytes(partial.body), None)
 
-    def _reject_invalid(self, request_id: int, error: RequestError) -> RequestComplete:
-        """Ends a partial request with an error; later records of the request are ignored."""
+    def _complete_as_invalid(self, request_id: int, error: RequestError) -> RequestComplete:
+        """Returns a partial request as complete and invalid; later records of the request are ignored."""
         self._discard_partial(request_id)
         return RequestComplete(request_id, {}, b"", InvalidRequest(error))
 
     def _reject(self, request_id: int, status: ProtocolStatus) -> RecordReply:
+        """Ends a request with an END_REQUEST record of this status, without passing it to the handler."""
         self.open_ids.discard(request_id)
         self.consecutive_rejections += 1
         return RecordReply(end_record(request_id, status))
