--- a/edge_router/model_checker/fingerprint/transport.py
+++ b/edge_router/model_checker/fingerprint/transport.py
@@ -29,7 +29,7 @@
         },
     ),
     UpstreamChannel: Fields(
-        "_queue _partial_write _write_blocked buffer decoder local_shortage connected closed "
+        "_queue _partial_write _write_blocked buffer decoder local_failure connected closed "
         "partial_received_at",
         {
             "_owner": REFERENCE,
@@ -52,7 +52,7 @@
             "last_used": "read by the check of idle clients, which the model does not run",
             "time_unread": "in the model, bytes are read as soon as they arrive",
             "_max_unread_time": "in the model, bytes are read as soon as they arrive",
-            "_last_unread_time": "in the model, bytes are read as soon as they arrive",
+            "_final_bytes_unread_time": "in the model, bytes are read as soon as they arrive",
         },
     ),
     fastcgi.FastCgiDecoder: Fields(
@@ -73,7 +73,7 @@
         tuple(decoder._items),
         decoder._missing_items,
         decoder._bulk_size,
-        channel.local_shortage,
+        channel.local_failure,
         channel.connected,
         channel.closed,
         frame.time(channel.partial_received_at or 0.0),
--- a/edge_router/model_checker/model/caches.py
+++ b/edge_router/model_checker/model/caches.py
@@ -53,7 +53,7 @@
     def run_out_of_descriptors(self, name: str) -> None:
         """Lets the connection fail as the router has no file descriptor for it."""
         channel = self._harness.remove_channel(name)
-        channel.local_shortage = True
+        channel.local_failure = True
         channel.on_connect_failed(OSError(24, "too many open files"))
         channel.on_closed()
 
--- a/edge_router/proxy/dispatcher.py
+++ b/edge_router/proxy/dispatcher.py
@@ -202,5 +202,5 @@
                 self._detach(attempt)
                 self._enqueue(attempt)
             else:
-                unsent = Outcome.NOT_SENT if connection.channel.local_shortage else Outcome.CONNECT_FAILED
+                unsent = Outcome.NOT_SENT if connection.channel.local_failure else Outcome.CONNECT_FAILED
                 self._finish(attempt, unsent if attempt.sent_at is None else Outcome.RESET)
--- a/edge_router/server/client_acceptor.py
+++ b/edge_router/server/client_acceptor.py
@@ -13,7 +13,7 @@
 from edge_router.runtime.clock import Clock
 from edge_router.runtime.event_log import log_rate_limited
 from edge_router.runtime.memory_budget import MemoryBudget
-from edge_router.runtime.system_errors import RESOURCE_EXHAUSTED, is_local_shortage
+from edge_router.runtime.system_errors import RESOURCE_EXHAUSTED, is_local_failure
 from edge_router.runtime.timers import Timers
 from edge_router.server.supervisor import keep_running
 from edge_router.transport.client_connection import ClientConnection
@@ -99,7 +99,7 @@
                 log_rate_limited("accept-failed", reason=error.strerror, clients=len(self.clients))
                 if trio.current_time() >= end:
                     return
-                await trio.sleep(FINAL_RETRY_DELAY if is_local_shortage(error) else 0)
+                await trio.sleep(FINAL_RETRY_DELAY if is_local_failure(error) else 0)
 
     def close_all_idle(self, reason: CloseReason) -> None:
         """Half-closes every client without open requests."""
--- a/edge_router/server/startup.py
+++ b/edge_router/server/startup.py
@@ -10,7 +10,7 @@
 
 from edge_router.config.platform_file import ConfigUnreadableError, RouterConfig, read_config
 from edge_router.runtime.event_log import log
-from edge_router.runtime.system_errors import is_local_shortage
+from edge_router.runtime.system_errors import is_local_failure
 
 RETRY_PERIOD = 5.0  # seconds for which a step is retried; the platform waits 30 s for a router to be ready
 RETRY_DELAY = 0.05  # seconds between two attempts
@@ -46,7 +46,7 @@
     """Returns whether a retry of the step may succeed."""
     if isinstance(error, ConfigUnreadableError):
         return error.errno is not None and error.errno not in PERMANENT_FILE_ERRORS
-    return isinstance(error, OSError) and (is_local_shortage(error) or error.errno == errno.EADDRINUSE)
+    return isinstance(error, OSError) and (is_local_failure(error) or error.errno == errno.EADDRINUSE)
 
 
 def load_config() -> RouterConfig:
--- a/edge_router/transport/client_connection.py
+++ b/edge_router/transport/client_connection.py
@@ -11,14 +11,15 @@
 from edge_router.protocol.buffer import BufferFullError
 from edge_router.protocol.fastcgi import FastCgiError
 from edge_router.runtime.memory_budget import MemoryBudget
-from edge_router.runtime.system_errors import is_local_shortage
+from edge_router.runtime.system_errors import is_local_failure
 from edge_router.runtime.timers import STALL_MEMORY
 from edge_router.transport.client_session import WRITE_SIZE, ClientSession, RequestHandler
 from edge_router.transport.close_reason import CloseReason
 from edge_router.transport.receive_age import last_received_ago
 
 LINGER_TIMEOUT = 1.0  # seconds for which a closing connection still reads and discards input
-MAX_LINGER_BYTES = 1 << 20  # bytes of input after which a closing connection stops reading
+# Bytes of input that a closing connection processes at most, and after that discards at most.
+MAX_LINGER_BYTES = 1 << 20
 WRITE_TIMEOUT = 10.0  # seconds for which a client may leave its responses unread
 
 
@@ -69,7 +70,10 @@
         self._reading.cancel()
 
     def _stop_writing(self) -> None:
-        """Half-closes at once, which tells the client that requests sent from now on are not processed."""
+        """Cancels the writing task and half-closes.
+
+        The half-close tells the client that requests sent from now on are not processed.
+        """
         self._writing.cancel()
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_WR)
@@ -88,6 +92,7 @@
                         self._writing.cancel()
                     if self._close_reason:
                         reason = self._close_reason
+                        # This writes nothing: `_writing` is cancelled by now, or the task has already ended.
                         self._start_writing()
             finally:
                 self._writer_started = True  # no writing task can be started any more
@@ -97,7 +102,10 @@
         return CloseReason.WRITE_TIMEOUT if self._client_stalled else reason
 
     async def _linger(self) -> None:
-        """Reads and discards input: closing with unread bytes would reset the socket and lose responses."""
+        """Half-closes, then discards input up to `MAX_LINGER_BYTES` within `LINGER_TIMEOUT`.
+
+        Closing with unread bytes would reset the socket and lose responses.
+        """
         discarded, remaining = bytearray(WRITE_SIZE), MAX_LINGER_BYTES
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_WR)
@@ -143,7 +151,7 @@
             except BlockingIOError:
                 return None
             except OSError as error:
-                if is_local_shortage(error):
+                if is_local_failure(error):
                     return None
                 raise
         if count:
@@ -164,10 +172,14 @@
         if self.silent and since_accepted < STALL_MEMORY * 1000.0:
             max_age = max(max_age, self._accept_delay + since_accepted)
         self._max_unread_time = max_age
-        self._last_unread_time = max_age if more or received_ago is None else received_ago
+        self._final_bytes_unread_time = max_age if more or received_ago is None else received_ago
 
     def poll_input(self) -> None:
-        """Reads the available input; the reading task handles the end of the stream and errors itself."""
+        """Reads and processes the available input.
+
+        If the stream has ended or failed, reports the open requests as disconnected; the reading task then
+        ends the connection. Starts to close the connection if the input is invalid.
+        """
         if self._receiving or self._reading.cancel_called:
             return
         try:
--- a/edge_router/transport/client_session.py
+++ b/edge_router/transport/client_session.py
@@ -24,7 +24,7 @@
     response_records,
 )
 from edge_router.runtime.memory_budget import MemoryBudget
-from edge_router.runtime.system_errors import is_local_shortage
+from edge_router.runtime.system_errors import is_local_failure
 from edge_router.transport.close_reason import CloseReason
 from edge_router.transport.upstream_channel import Socket
 
@@ -71,11 +71,14 @@
         self._decoder = FastCgiDecoder(budget, clock)
         self._buffer = ReceiveBuffer(MAX_BUFFERED_BYTES)
         self._close_reason: CloseReason | str | None = None  # set once new requests are rejected
-        self._partial_since: float | None = clock()  # ms, start of the incomplete record, if any
+        # Start of the incomplete record, or of the connection until it has received a byte (ms); else None.
+        self._partial_since: float | None = clock()
         self.silent = True  # until the first byte is received
-        self.time_unread = 0.0  # ms for which the current request may have waited to be read
+        # Milliseconds for which the request that is passed to the handler may have waited to be read.
+        self.time_unread = 0.0
         self._max_unread_time = 0.0  # ms, upper bound for all input of the last read
-        self._last_unread_time = 0.0  # ms, for the end of that input
+        # Milliseconds for which the last bytes of that input waited; the upper bound if that is unknown.
+        self._final_bytes_unread_time = 0.0
         self._control_records: deque[bytes] = deque()
         self._responses: deque[tuple[int, deque[bytes]]] = deque()
         self._unsent_bytes = 0  # bytes of `_responses`, reserved in the memory budget
@@ -96,7 +99,7 @@
         """Stops reading."""
 
     def _stop_writing(self) -> None:
-        """Stops writing."""
+        """Stops writing and half-closes the connection."""
 
     # Called by the subclass that does the I/O.
 
@@ -151,9 +154,12 @@
         return self.is_fully_answered() and not self._decoder.partial_count() and self._partial_since is None
 
     def check_timeouts(self, now: float) -> None:
-        """Ends requests, and closes connections, that stay incomplete for `RECEIVE_TIMEOUT`; `now` is in ms.
+        """Applies `RECEIVE_TIMEOUT` to incomplete requests and records and to silent connections.
 
-        Otherwise clients that send nothing, or never complete a request, would occupy connection slots.
+        `now` is in ms. Incomplete requests are passed to the handler as invalid. A connection that has an
+        incomplete record, or from which nothing has been read, starts to close; the latter does not if it has
+        unread input. Without this limit, clients that send nothing, or never complete a request, would occupy
+        connection slots.
         """
         if (
             self._partial_since is not None
@@ -167,7 +173,7 @@
             self._handler.on_request(self, *event)
 
     def _start_closing(self, reason: CloseReason | str) -> None:
-        """Rejects new requests, and closes the connection once all open requests are answered.
+        """Rejects new requests, and closes the connection once all complete requests are answered.
 
         Input is read until then, as a request that the client aborts needs no further attempts.
         """
@@ -210,6 +216,7 @@
 
     def end_request(self, request_id: int, status: int) -> None:
         """Ends a request without a response."""
+        # A request without a response is COMPLETE only if the client aborted it: application status 1.
         self._decoder.open_ids.discard(request_id)
         self._send_control_record(
             end_record(request_id, status, 1 if status == ProtocolStatus.COMPLETE else 0)
@@ -231,7 +238,7 @@
 
         They are limited because some clients resend a rejected request at once.
         """
-        self.time_unread = self._max_unread_time if len(self._buffer) else self._last_unread_time
+        self.time_unread = self._max_unread_time if len(self._buffer) else self._final_bytes_unread_time
         if self._handler.on_request(self, *event):
             self._decoder.consecutive_rejections = 0
         else:
@@ -258,9 +265,10 @@
         return b"".join(parts)
 
     def _flush(self) -> None:
-        """Writes until the socket buffer is full.
+        """Writes until the socket buffer is full; closes the connection if sending fails for a remote cause.
 
-        Stops reading and writing once everything is written and the connection need not stay open.
+        Once everything is written, stops writing and reading in two cases: the connection is closing and has
+        no complete request left, or the client asked not to keep it open and no request is open.
         """
         while not self._write_blocked:
             if not self._partial_write and not (data := self._next_write()):
@@ -279,7 +287,7 @@
             except BlockingIOError:
                 sent = 0
             except OSError as error:
-                if not is_local_shortage(error):
+                if not is_local_failure(error):
                     self.close()
                     return
                 sent = 0
--- a/edge_router/transport/receive_age.py
+++ b/edge_router/transport/receive_age.py
@@ -1,8 +1,10 @@
 """Measures how long received bytes waited to be read, from the kernel's TCP_INFO.
 
 A client's deadline counts from when it sent its request. Input that arrived while the event loop was busy,
-the process stalled, or the connection waited to be accepted, is older than its read. The kernel reports the
-arrival time of the last bytes only; for earlier bytes `Timers.stall_duration` is the upper bound.
+the process stalled, or the connection waited to be accepted, has waited before it is read. The kernel
+reports the arrival time of the last bytes only. For earlier bytes the caller takes `Timers.stall_duration` as
+the upper bound or, for the first bytes of a new connection, the time since it was established if that is
+longer.
 """
 
 from __future__ import annotations
--- a/edge_router/transport/upstream_channel.py
+++ b/edge_router/transport/upstream_channel.py
@@ -15,7 +15,7 @@
 
 from edge_router.protocol.buffer import ReceiveBuffer
 from edge_router.protocol.resp import MAX_BULK_SIZE, RespDecoder
-from edge_router.runtime.system_errors import is_local_shortage
+from edge_router.runtime.system_errors import is_local_failure
 from edge_router.transport.close_reason import CloseReason
 
 
@@ -39,7 +39,10 @@
         """Called right before the first byte is written; returns the bytes, or None to drop the command."""
 
     def on_not_written(self) -> None:
-        """Called if no byte could be written; the command is queued again and encoded once more later."""
+        """Called if no byte could be written.
+
+        The command is queued again, and encoded once more unless the channel closes before.
+        """
 
 
 class ChannelOwner(Protocol):
@@ -69,7 +72,7 @@
         self._close_reason: CloseReason | str = CloseReason.CLOSED_LOCALLY
         self.buffer = ReceiveBuffer(MAX_BULK_SIZE + 4096)
         self.decoder = RespDecoder()
-        self.local_shortage = False  # this host lacked a descriptor, memory, a port or a route for it
+        self.local_failure = False  # this host lacked a descriptor, memory, a port or a route for it
         self.connected = False  # it was established, or reset by the peer while connecting
         self.closed = False
         self.partial_received_at: float | None = None  # ms, last input of an incomplete response
@@ -83,7 +86,7 @@
             self._flush()
 
     def close(self) -> None:
-        """Closes the connection and drops its queue; the owner gets `on_channel_closed` later."""
+        """Closes the connection and writes no more of its queue; the owner gets `on_channel_closed` later."""
         self.closed = True
         self._stop()
 
@@ -115,7 +118,10 @@
         self._flush()
 
     def on_connect_failed(self, error: OSError) -> None:
-        """Records that connecting failed; a reset counts as connected, as it shows that the host is up."""
+        """Records that connecting failed.
+
+        A reset counts as connected: unlike a refusal, it comes from a host that had accepted the connection.
+        """
         self._close_reason = str(error) or type(error).__name__
         self.connected = self.connected or isinstance(error, ConnectionResetError)
 
@@ -146,14 +152,15 @@
     def _closed_by_server(self) -> bool:
         """Whether the server has closed the connection; if so, closes this side too.
 
-        Looks at the socket itself, as the end of the stream may not have been read yet.
+        Looks at the socket itself, as the end of the stream may not have been read yet. A socket error counts
+        as closed unless its cause is on this host. Unread bytes hide the end of the stream that follows them.
         """
         try:
             closed = not self._sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
             return False
         except OSError as error:
-            closed = not is_local_shortage(error)
+            closed = not is_local_failure(error)
         if closed:
             self._close_reason = CloseReason.SERVER_CLOSED
             self.close()
@@ -174,8 +181,8 @@
         except BlockingIOError:
             pass
         except OSError as error:
-            # After a local shortage, writing continues once the socket is writable.
-            if not is_local_shortage(error):
+            # After a failure on this host, writing continues once the socket is writable.
+            if not is_local_failure(error):
                 self._close_reason = str(error)
                 self.close()
         if sent or command is None:
--- a/edge_router/transport/upstream_connection.py
+++ b/edge_router/transport/upstream_connection.py
@@ -9,11 +9,11 @@
 
 from edge_router.protocol.buffer import BufferFullError
 from edge_router.protocol.resp import RespError
-from edge_router.runtime.system_errors import is_local_shortage
+from edge_router.runtime.system_errors import is_local_failure
 from edge_router.transport.close_reason import CloseReason
 from edge_router.transport.upstream_channel import ChannelOwner, UpstreamChannel
 
-SHORTAGE_RETRY_DELAY = 0.01  # seconds before connecting again after a local shortage
+LOCAL_FAILURE_RETRY_DELAY = 0.01  # seconds before connecting again
 
 
 class TrioUpstreamChannel(UpstreamChannel):
@@ -52,9 +52,10 @@
             self.on_closed(reason)
 
     async def _run_with_retries(self) -> CloseReason | str:
-        """Connects, again after a local shortage, and serves the connection; returns why it ended.
+        """Connects, retrying after failures on this host, and serves the connection; returns why it ended.
 
-        Retried here because the server is not at fault, and all attempts of a request would fail at once.
+        Retried here because the server is not at fault. Otherwise all attempts of a request would be used up
+        within moments.
         """
         deadline = trio.current_time() + self._connect_timeout
         while True:
@@ -63,11 +64,11 @@
                 with trio.socket.from_stdlib_socket(self._sock) as sock:
                     return await self._run_once(sock, deadline)
             except OSError as error:
-                self.local_shortage = is_local_shortage(error) and not self.connected
-                if not self.local_shortage or trio.current_time() + SHORTAGE_RETRY_DELAY >= deadline:
+                self.local_failure = is_local_failure(error) and not self.connected
+                if not self.local_failure or trio.current_time() + LOCAL_FAILURE_RETRY_DELAY >= deadline:
                     raise
-            await trio.sleep(SHORTAGE_RETRY_DELAY)
-            self.local_shortage = False
+            await trio.sleep(LOCAL_FAILURE_RETRY_DELAY)
+            self.local_failure = False
 
     async def _run_once(self, sock: trio.socket.SocketType, deadline: float) -> CloseReason | str:
         sock.setsockopt(trio.socket.IPPROTO_TCP, trio.socket.TCP_NODELAY, 1)
@@ -93,7 +94,7 @@
                     except BlockingIOError:
                         continue
                     except OSError as error:
-                        if is_local_shortage(error):
+                        if is_local_failure(error):
                             continue
                         raise
                 if not count:
