--- a/edge_router/decision/endpoint_directory.py
+++ b/edge_router/decision/endpoint_directory.py
@@ -106,13 +106,13 @@
         self.cache_outliers[cache_id].start_trial(now, self._ejection_time)
         self.source_outliers[source_id].start_trial(now, self._ejection_time)
 
-    def cache_failed(self, now: float, cache_id: EndpointId, sent_at: float, score: float = 1) -> bool:
+    def cache_failed(self, now: float, cache_id: EndpointId, started_at: float, score: float = 1) -> bool:
         """Records a failed attempt at a cache; True if its failures reach `EJECTION_SCORE` with this one."""
-        return self.cache_outliers[cache_id].record_failure(now, sent_at, self._ejection_time, score)
+        return self.cache_outliers[cache_id].record_failure(now, started_at, self._ejection_time, score)
 
-    def source_failed(self, now: float, source_id: EndpointId, sent_at: float) -> bool:
+    def source_failed(self, now: float, source_id: EndpointId, started_at: float) -> bool:
         """Records a failed fill from a source; True if its failures reach `EJECTION_SCORE` with this one."""
-        return self.source_outliers[source_id].record_failure(now, sent_at, self._ejection_time, 1)
+        return self.source_outliers[source_id].record_failure(now, started_at, self._ejection_time, 1)
 
 
 def _accepts(
--- a/edge_router/decision/messages.py
+++ b/edge_router/decision/messages.py
@@ -101,8 +101,8 @@
     """An attempt has ended.
 
     `attempt_index` counts the attempts of the request from 0, in the order in which they were started.
-    `fill_result` is a `FillResult`, or another number if the cache sends an unknown one. `fill_wait` is how
-    long the fill waited for its first byte. `load_report` has the values of `Settings.load_report_fields`.
+    `fill_result` is a `FillResult`; any other number counts as NONE. `fill_wait` is how long the fill waited
+    for its first byte. `load_report` has the values of `Settings.load_report_fields`.
     `request_closed`: the request has its final answer, or its client has disconnected.
     """
 
@@ -167,7 +167,7 @@
 
 
 class FillMode(IntEnum):
-    """Flags that control how a cache fills on a miss."""
+    """Flags that control how a cache may obtain the object."""
 
     COALESCE = 1  # the request may wait for a fill that another one has started
     CACHED_ONLY = 2  # the object must not be fetched from the origin; a parent's copy may be used
@@ -176,7 +176,7 @@
 
 
 class StartAttempt(NamedTuple):
-    """Sends the request to a cache, with instructions for a miss.
+    """Sends the request to a cache, with instructions on how it may obtain the object.
 
     `source_id` is the endpoint to fill from; the cache itself if it must not fill. With `cache_rank` 0 the
     object is not cached. `max_age` is the maximum age of an acceptable copy, 0 for no limit. `fill_mode`
@@ -190,7 +190,7 @@
     cache_rank: int
     max_age: float
     fill_mode: int
-    start_before: float = float("inf")  # later the deduplication window has passed
+    start_before: float = float("inf")  # it has to start earlier, as the deduplication window ends then
 
 
 class CancelAttempt(NamedTuple):
--- a/edge_router/decision/outcome_recorder.py
+++ b/edge_router/decision/outcome_recorder.py
@@ -100,7 +100,7 @@
             self._cache_failed(now, attempt)
         elif outcome is Outcome.RESET:
             cache = self._directory.cache_outliers[attempt.endpoint_id]
-            if cache.record_reset(now, attempt.sent_at):
+            if cache.record_reset(now, attempt.started_at):
                 self._cache_failed(now, attempt, RESET_SCORE)
             if cache.is_available(now):
                 # A retry may go to the same cache, which may already hold the object, unlike the next one.
@@ -109,17 +109,17 @@
     def record_overdue(self, now: float, attempt: AttemptRecord) -> None:
         """Counts an overdue attempt against its cache or, if that has answered since, against its source."""
         attempt.overdue = True
-        if self._directory.cache_outliers[attempt.endpoint_id].last_success < attempt.sent_at:
+        if self._directory.cache_outliers[attempt.endpoint_id].last_success < attempt.started_at:
             self._cache_failed(now, attempt)
         elif attempt.fill_expected:
             self._source_failed(now, attempt)
 
     def _cache_failed(self, now: float, attempt: AttemptRecord, score: float = 1) -> None:
-        if self._directory.cache_failed(now, attempt.endpoint_id, attempt.sent_at, score):
+        if self._directory.cache_failed(now, attempt.endpoint_id, attempt.started_at, score):
             self._report_ejection("cache", attempt.endpoint_id)
 
     def _source_failed(self, now: float, attempt: AttemptRecord) -> None:
-        if self._directory.source_failed(now, attempt.source_id, attempt.sent_at):
+        if self._directory.source_failed(now, attempt.source_id, attempt.started_at):
             self._report_ejection("source", attempt.source_id)
 
     def _report_ejection(self, role: str, endpoint_id: EndpointId) -> None:
--- a/edge_router/decision/outlier_detection.py
+++ b/edge_router/decision/outlier_detection.py
@@ -32,13 +32,13 @@
         self.failure_score = 0
         self.ejected_until = -math.inf
 
-    def record_failure(self, now: float, sent_at: float, ejection_time: float, score: float = 1.0) -> bool:
-        """Records that an attempt sent at `sent_at` failed or is overdue.
+    def record_failure(self, now: float, started_at: float, ejection_time: float, score: float = 1.0) -> bool:
+        """Records that an attempt started at `started_at` failed or is overdue.
 
         Returns True if the failures reach `EJECTION_SCORE` with this one; a failure that starts the ejection
-        again after its end returns False. An attempt sent before the last success doesn't count.
+        again after its end returns False. An attempt started before the last success doesn't count.
         """
-        if sent_at <= self.last_success:
+        if started_at <= self.last_success:
             return False
         score_before = self.failure_score
         self.failure_score += score
@@ -46,12 +46,12 @@
             self.ejected_until = now + ejection_time
         return score_before < EJECTION_SCORE <= self.failure_score
 
-    def record_reset(self, now: float, sent_at: float) -> bool:
-        """Records a reset connection; False if the attempt was sent before the last recorded reset.
+    def record_reset(self, now: float, started_at: float) -> bool:
+        """Records a reset connection; False if the attempt was started before the last recorded reset.
 
         A reset ends all attempts on its connection, and must count only once.
         """
-        if sent_at <= self.last_reset:
+        if started_at <= self.last_reset:
             return False
         self.last_reset = now
         return True
--- a/edge_router/decision/pending_request.py
+++ b/edge_router/decision/pending_request.py
@@ -20,14 +20,14 @@
 
     endpoint_id: EndpointId
     source_id: EndpointId
-    sent_at: float
+    started_at: float  # when the policy started it; its first byte is written later
     overdue_at: float
     fill_expected: bool  # the cache probably lacks the object
     parent_charge: Charge  # in the slow-start budget of the source
     cache_load: LinkLoad  # kept here, as the endpoint may be removed before the attempt ends
     source_load: LinkLoad
-    concurrent_fills: int = 0  # this router's fills on the zone link when it was sent, including it
-    concurrent_attempts: int = 0  # this router's attempts at the cache when it was sent, including it
+    concurrent_fills: int = 0  # this router's fills on the zone link when it was started, including it
+    concurrent_attempts: int = 0  # this router's attempts at the cache when it was started, including it
     in_flight: bool = True  # until it ends
     may_have_run: bool = True
     overdue: bool = False
@@ -45,7 +45,7 @@
             settings.latency_objective + settings.latency_objective_per_work * work, settings.deadline
         )
         self.attempts: list[AttemptRecord] = []
-        self.missed = False  # a cache that had to answer from its copy had none
+        self.missed = False  # an attempt ended with MISS
         self.avoids_origin = False  # the object must not be fetched from the origin
         self.rejection_reason = RejectionReason.NO_CACHE  # used if no attempt can be sent
         self.tried_endpoints: set[EndpointId] = set()
@@ -58,7 +58,7 @@
     def start_before(self) -> float:
         """The time by which the next attempt has to start; later a cache would not recognise a repeat."""
         first = self.first_possible_run()
-        return rules.repeat_until(self.settings, first.sent_at if first else None)
+        return rules.repeat_until(self.settings, first.started_at if first else None)
 
     def in_flight_attempts(self) -> int:
         """The number of attempts that have not ended."""
--- a/edge_router/decision/policy.py
+++ b/edge_router/decision/policy.py
@@ -54,14 +54,17 @@
 
 OVERDUE_OBJECTIVE_SHARE = 0.6  # of the latency objective, after which an attempt is overdue
 OVERDUE_EXPECTED_FACTOR = 1.5  # multiple of the duration expected at the present load; not overdue before
-MAX_HEDGING_SLOWDOWN = 1.5  # at this slowdown of its links an available cache causes no hedged request
+# At this slowdown of the cache's or the zone's link no hedged request is sent, unless the cache or the source
+# of the overdue attempt is ejected.
+MAX_HEDGING_SLOWDOWN = 1.5
 MIN_SILENCE_FACTOR = 3.0  # multiple of the connect timeout; silence counts as a cache failure after it
 # Limit of the fetches sent to the origin for each that it answers; requests above it, chosen at random, avoid
 # the origin.
 MAX_ORIGIN_FETCHES_PER_ANSWER = 1.25
 MEAN_WORK_SAMPLES = 1000.0  # requests
 TIMER_TOLERANCE = 0.001  # milliseconds by which a timer may fire early
-NEVER_REACHED_A_CACHE = frozenset((Outcome.CONNECT_FAILED, Outcome.NOT_SENT))
+# The attempt was not sent, or arrived after its deadline and was not run, so it added almost no load.
+NO_LOAD_ON_CACHE = frozenset((Outcome.CONNECT_FAILED, Outcome.NOT_SENT))
 
 
 @dataclass(slots=True)
@@ -153,8 +156,8 @@
         """Sends the request to the first cache and source that may take it; False if there is none.
 
         With `no_fill`, or while the zone's link is congested, a cacheable request must be answered from the
-        cache's copy. While the origin is overloaded, a random part of the cacheable requests avoids it. In
-        both cases no other cache is tried after a miss.
+        cache's copy. While the origin is overloaded, a random part of the cacheable requests avoids it. A
+        request under either restriction is not sent again if one of its attempts has ended with MISS.
         """
         cacheable = not pending.settings.uncacheable
         pending.avoids_origin = cacheable and (
@@ -215,9 +218,9 @@
         if pending.in_flight_attempts() and not self._settings.hedging_allowed:
             return False
         first = pending.first_possible_run()
-        first_endpoint, first_sent = (first.endpoint_id, first.sent_at) if first else (None, None)
+        first_endpoint, first_started_at = (first.endpoint_id, first.started_at) if first else (None, None)
         listed = self.directory.endpoints
-        if not rules.may_repeat(pending.settings, now, first_endpoint, first_sent, cache, listed):
+        if not rules.may_repeat(pending.settings, now, first_endpoint, first_started_at, cache, listed):
             return False
         return (
             source_id == cache.endpoint_id
@@ -268,7 +271,8 @@
     def _acceptable_copy_age(self, pending: PendingRequest, age_limit: float) -> float:
         """The maximum age of an acceptable copy in milliseconds; 0 means no limit.
 
-        Retries and requests that avoid the origin also accept a copy within its stale lifetime.
+        A copy within its stale lifetime is also accepted by requests that avoid the origin and, in retries
+        and hedged requests, from the second attempt on.
         """
         settings = pending.settings
         lifetime = settings.freshness_lifetime
@@ -282,7 +286,8 @@
     def _fill_mode(self, pending: PendingRequest, age_limit: float) -> int:
         """The `FillMode` flags of the attempt.
 
-        After a purge or a failed attempt the request is not coalesced with a fill that may have begun before.
+        After a purge, and from the second attempt on (a retry or a hedged request), the request is not
+        coalesced with another one's fill, which may have begun earlier.
         """
         mode = 0
         if pending.avoids_origin:
@@ -317,15 +322,15 @@
     def _retry(self, now: float, pending: PendingRequest, outcome: Outcome) -> bool:
         """Sends the request again; False if its deadline, the retry budget or the rules forbid it.
 
-        A retry takes nothing from the budget if the attempt reached no cache, as it adds no load then, or if
-        the request's only attempt so far ended with a reset connection: the retry may go to the same cache,
-        which may already hold the object.
+        A retry takes nothing from the budget if the outcome is in `NO_LOAD_ON_CACHE`, or if the request's
+        only attempt so far ended with a reset connection: the retry may go to the same cache, which may
+        already hold the object.
         """
         if now >= pending.deadline:
             pending.rejection_reason = RejectionReason.TIME
             return False
         pending.rejection_reason = RejectionReason.RETRY_BUDGET
-        free = outcome in NEVER_REACHED_A_CACHE or (outcome is Outcome.RESET and len(pending.attempts) == 1)
+        free = outcome in NO_LOAD_ON_CACHE or (outcome is Outcome.RESET and len(pending.attempts) == 1)
         return (free or self.retry_budget.try_spend()) and self._try_candidates(now, pending)
 
     def _on_timer(self, now: float, event: TimerFired) -> None:
@@ -343,14 +348,18 @@
     def _on_overdue(self, now: float, pending: PendingRequest, attempt: AttemptRecord) -> None:
         """Handles an attempt that has not ended in the expected time; may send a hedged request.
 
-        A silent cache counts as failed only after a minimum silence; until then a second timer is set. The
-        retry budget, the attempts in flight and the slowdown limit hedged requests. While cache and source
-        are available, a hedged request must be answered from a copy: if only the first attempt's answer was
-        lost, ejecting the cache would not help, and the cache holds the object by now.
+        The attempt counts against its cache, but only after a minimum silence, until which a second timer is
+        set. If the cache has answered another attempt since the start of this one, the attempt counts against
+        the source of an expected fill instead.
+
+        Hedged requests are limited by the retry budget and by the attempts in flight. While neither cache nor
+        source is ejected, the hedged request may go to the same cache, as possibly only the answer was lost:
+        ejecting the cache would not help then, and it probably holds the object by now. Therefore a cacheable
+        hedged request must be answered from a copy, and it is sent only if the links are not slowed down.
         """
         cache_id, loads = attempt.endpoint_id, self.loads
-        answered_since = self.directory.cache_outliers[cache_id].last_success >= attempt.sent_at
-        silent_until = attempt.sent_at + MIN_SILENCE_FACTOR * self._settings.connect_timeout
+        answered_since = self.directory.cache_outliers[cache_id].last_success >= attempt.started_at
+        silent_until = attempt.started_at + MIN_SILENCE_FACTOR * self._settings.connect_timeout
         if not answered_since and now + TIMER_TOLERANCE < silent_until:
             self._actions.append(SetTimer(pending.request.request_number, silent_until))
         else:
@@ -362,8 +371,12 @@
             pending.tried_endpoints.discard(cache_id)
         slowdown = max(loads.for_endpoint(cache_id).slowdown(now), loads.zone_link.slowdown(now))
         worthwhile = not available or slowdown < MAX_HEDGING_SLOWDOWN
-        max_in_flight = 1 if available else 2
-        if pending.in_flight_attempts() <= max_in_flight and worthwhile and self.retry_budget.try_spend():
+        max_other_attempts = 1 if available else 2
+        if (
+            pending.in_flight_attempts() <= max_other_attempts
+            and worthwhile
+            and self.retry_budget.try_spend()
+        ):
             self._try_candidates(now, pending, no_fill=available)
 
     def _on_client_disconnected(self, now: float, event: ClientDisconnected) -> None:
--- a/edge_router/decision/rules.py
+++ b/edge_router/decision/rules.py
@@ -63,33 +63,34 @@
     return None
 
 
-def repeat_until(settings: ClassSettings, first_sent: float | None) -> float:
+def repeat_until(settings: ClassSettings, first_started_at: float | None) -> float:
     """The time by which a repeat has to start; infinite where no deduplication window applies.
 
-    `first_sent` is when the first attempt that may have run was sent, None if there is none.
+    `first_started_at` is when the first attempt that may have run was started (for the run-time
+    invariant checker: sent); None if there is none.
     """
-    if first_sent is None or settings.idempotency is not Idempotency.WITH_KEY:
+    if first_started_at is None or settings.idempotency is not Idempotency.WITH_KEY:
         return math.inf
-    return first_sent + settings.deduplication_window
+    return first_started_at + settings.deduplication_window
 
 
 def may_repeat(
     settings: ClassSettings,
     now: float,
     first_endpoint: EndpointId | None,
-    first_sent: float | None,
+    first_started_at: float | None,
     candidate: Endpoint,
     listed: Mapping[EndpointId, Endpoint],
 ) -> bool:
     """Whether an attempt may be sent to `candidate`.
 
-    `first_endpoint` and `first_sent` describe the first attempt that may have run; None allows any candidate.
-    If that endpoint is no longer `listed`, its zone and cell are unknown, and only the same endpoint will
-    recognise the repeat.
+    `first_endpoint` and `first_started_at` describe the first attempt that may have run; None allows any
+    candidate. If that endpoint is no longer `listed`, its zone and cell are unknown, and only the same
+    endpoint will recognise the repeat.
     """
     if settings.idempotency is Idempotency.IDEMPOTENT or first_endpoint is None:
         return True
-    if settings.idempotency is Idempotency.NONE or now >= repeat_until(settings, first_sent):
+    if settings.idempotency is Idempotency.NONE or now >= repeat_until(settings, first_started_at):
         return False
     if settings.deduplication_scope is DeduplicationScope.ALL:
         return True
--- a/edge_router/model_checker/fingerprint/decision.py
+++ b/edge_router/model_checker/fingerprint/decision.py
@@ -82,7 +82,7 @@
         {"request": DERIVED, "settings": DERIVED, "rejection_reason": REPORTED},
     ),
     AttemptRecord: Fields(
-        "endpoint_id source_id sent_at overdue_at fill_expected parent_charge concurrent_attempts "
+        "endpoint_id source_id started_at overdue_at fill_expected parent_charge concurrent_attempts "
         "concurrent_fills in_flight may_have_run overdue",
         {"cache_load": DERIVED, "source_load": DERIVED},
     ),
@@ -205,7 +205,7 @@
     return (
         attempt.endpoint_id,
         attempt.source_id,
-        frame.time(attempt.sent_at),
+        frame.time(attempt.started_at),
         frame.time(attempt.overdue_at),
         attempt.fill_expected,
         frame.time(attempt.parent_charge.charged_at),
--- a/edge_router/model_checker/mutations/decision.py
+++ b/edge_router/model_checker/mutations/decision.py
@@ -47,7 +47,7 @@
         "window-forgotten",
         rules,
         "repeat_until",
-        "first_sent + settings.deduplication_window",
+        "first_started_at + settings.deduplication_window",
         "math.inf",
         ("keyed",),
         "no-repeat",
