--- a/edge_router/proxy/admission.py
+++ b/edge_router/proxy/admission.py
@@ -27,8 +27,8 @@
 # exceeds the lowest of all classes.
 CPU_DEBT_PER_PRIORITY = 0.02
 MAX_RELATIVE_PRIORITY = 2.0  # of a class: its priority weight relative to the mean of all classes
-# Clients state sizes in KB of the simulator. On the socket an object has fewer bytes, in the ratio of
-# `transfer_rate` to `Settings.client_bandwidth`; this is the ratio if one of them is not known.
+# Bytes on the socket per KB of the size that a client states, if the ratio of `transfer_rate` to
+# `Settings.client_bandwidth` is not known. By that ratio an object has fewer bytes on the socket than stated.
 DEFAULT_BYTES_PER_STATED_KB = 1000.0
 
 
--- a/edge_router/proxy/connection_pool.py
+++ b/edge_router/proxy/connection_pool.py
@@ -17,8 +17,8 @@
 # Fraction of the endpoints' idle timeout after which an idle connection is closed. It is closed before the
 # endpoint closes it, because a request that is written to a closing connection would be lost.
 IDLE_FRACTION = 0.6
-# Connect timeouts for which a connection with open attempts may deliver no complete response. After that it
-# takes no further attempt.
+# Connect timeouts without a complete response after which a connection with open attempts takes no further
+# one, counted from its last response or, if that is later, from the start of its oldest open attempt.
 MAX_SILENCE_FACTOR = 3.0
 MIN_CONNECT_TIMEOUT = 100.0  # ms; lower bound of the connect timeout in this calculation
 MAX_CONNECTIONS_PER_ENDPOINT = 16  # several, because a broken connection ends all attempts on it
@@ -59,7 +59,7 @@
         return sum(map(len, self._connections.values()))
 
     def max_silence(self) -> float:
-        """Return for how long (ms) a connection with open attempts may deliver no complete response."""
+        """Return how long (ms) a connection with open attempts may be silent; see `MAX_SILENCE_FACTOR`."""
         return MAX_SILENCE_FACTOR * max(self._settings.connect_timeout, MIN_CONNECT_TIMEOUT)
 
     def acquire(
--- a/edge_router/proxy/dispatcher.py
+++ b/edge_router/proxy/dispatcher.py
@@ -184,7 +184,7 @@
         If the connection was established or reset, an unsent attempt is queued on another one, at most once,
         because the loss of one connection is weak evidence against the endpoint; if it cannot be queued, it
         ends as NOT_SENT. Any other unsent attempt ends as CONNECT_FAILED, or as NOT_SENT if this host lacked
-        a descriptor or memory for the connection.
+        a descriptor, memory, a port or a route for the connection.
         """
         self.pool.remove(connection)
         if connection.attempts:
--- a/edge_router/proxy/request_router.py
+++ b/edge_router/proxy/request_router.py
@@ -44,7 +44,7 @@
 
 DECISION_BATCH = 8  # requests that are shed or routed before the sockets are read again
 LOG_REPEAT_INTERVAL = 1000.0  # ms within which the same text of the policy is not logged again
-BACKSTOP_DELAY = 20.0  # ms after its deadline; a request without a result of the policy is answered then
+BACKSTOP_DELAY = 20.0  # ms after its deadline at which a request is answered if the policy has not done so
 
 
 class RequestRouter:
@@ -194,7 +194,8 @@
     def _handle_event(self, event: Event) -> None:
         """Pass an event to the policy and carry out the actions that it returns.
 
-        An error in a decision is logged and fails only its own request; the router continues.
+        An error is logged and the router continues. If the event is a new request, that request is answered
+        as failed; all others wait for a later event or their backstop.
         """
         try:
             for action in self._policy.handle(self._clock.now(), event):
--- a/edge_router/server/client_acceptor.py
+++ b/edge_router/server/client_acceptor.py
@@ -182,11 +182,12 @@
                 self.clients.discard(client)
 
     def _evict_idle(self) -> bool:
-        """Half-closes the longest silent clients, else the longest idle; returns whether it acted on any.
+        """Evicts clients in two steps; returns whether any was closed or selected.
 
-        A later call closes them, once `MIN_IDLE_TIME` has passed, so that a client that is just sending a
-        request sees an orderly end instead of a reset. While any closing client is fully answered, no others
-        are selected; the result is then false until one of those has been closing for long enough.
+        If any closing client is fully answered, closes those of them whose half-close and last traffic are at
+        least `MIN_IDLE_TIME` ago, and selects no others. Else selects the longest silent clients or, if there
+        are none, the longest idle ones, and half-closes them unless input has arrived. The time between the
+        steps lets a client that is just sending a request see an orderly end instead of a reset.
         """
         now = self._clock.now()
         closing = [client for client in self.clients if client.is_closing() and client.is_fully_answered()]
--- a/edge_router/server/graceful_shutdown.py
+++ b/edge_router/server/graceful_shutdown.py
@@ -15,7 +15,7 @@
 from edge_router.server.client_acceptor import ClientAcceptor
 from edge_router.transport.close_reason import CloseReason
 
-ACCEPT_GRACE_PERIOD = 0.8  # seconds after SIGTERM during which new connections and requests are accepted
+ACCEPT_GRACE_PERIOD = 0.8  # seconds after SIGTERM before the listener and idle clients are closed
 # The platform sends SIGKILL min(longest deadline of any class, `MAX_COUNTED_DEADLINE`) + `KILL_DELAY` after
 # SIGTERM.
 KILL_DELAY = 0.7  # seconds
@@ -67,10 +67,12 @@
         self._end = trio.current_time() + self._time_limit
 
     async def run(self, listener: socket.socket) -> None:
-        """Accepts clients for the grace period, closes the listener, and waits for the open requests to end.
+        """Accepts clients for the grace period, closes the listener, and waits until all clients are gone.
 
-        At the time limit, answers the requests that are still open. If `run` raises, it may be called again,
-        and the limit still counts from `start`; once the listener is closed, a call before the limit raises.
+        Clients are half-closed once they are idle; until then their requests are still accepted. At the time
+        limit, answers the requests that are still open and waits at most `FINAL_WRITE_TIME` for the last
+        responses. If `run` raises, it may be called again, and the limit still counts from `start`; once the
+        listener is closed, a call before the limit raises.
         """
         assert self._end is not None, "start() comes first"
         end = self._end
--- a/edge_router/transport/client_connection.py
+++ b/edge_router/transport/client_connection.py
@@ -92,7 +92,7 @@
                         self._writing.cancel()
                     if self._close_reason:
                         reason = self._close_reason
-                        # This writes nothing: `_writing` is cancelled by now, or the task has already ended.
+                        # Has no effect on any known path: `_writing` is cancelled or its task has ended.
                         self._start_writing()
             finally:
                 self._writer_started = True  # no writing task can be started any more
--- a/edge_router/transport/client_session.py
+++ b/edge_router/transport/client_session.py
@@ -3,7 +3,8 @@
 Decodes requests, and interleaves the records of the responses so that a long one does not delay the others.
 
 A subclass does the I/O: it reports events (`on_received`, `on_writable`, `on_closed`) and implements
-`_on_write_blocked`, `_stop_reading`, `_stop_writing` and `close`. `ClientConnection` is such a subclass.
+`_on_write_blocked`, `_stop_reading`, `_stop_writing`, `poll_input` and `close`. `ClientConnection` is such a
+subclass.
 """
 
 from __future__ import annotations
@@ -55,7 +56,7 @@
         """Handles an abort of this request by the client."""
 
     def on_disconnected(self, connection: ClientSession, request_id: int) -> None:
-        """Handles a close or half-close of the connection by the client while this request was open."""
+        """Handles the end of the connection, or its half-close by the client, while this request is open."""
 
 
 class ClientSession:
@@ -141,7 +142,7 @@
         for request_id in sorted(self._decoder.open_ids):
             self._handler.on_disconnected(self, request_id)
 
-    # Called by the owner of the connection and by the request handler.
+    # Called by the owner of the connection and by the request handler; the subclass implements `poll_input`.
 
     def is_fully_answered(self) -> bool:
         """Whether every complete request is answered and nothing is left to write."""
