--- a/edge_router/proxy/messages.py
+++ b/edge_router/proxy/messages.py
@@ -53,7 +53,7 @@
     object_key: int
     segment: int
     purge_group: int
-    size_kb: float  # as the client states it; the object has fewer bytes on the socket
+    size_kb: float  # as the client states it; admission.py converts it to bytes on the socket
     timeout: float  # ms that the client waits, counted from when it sent the request
     client_etag: str | None  # entity tag of the copy that the client has
     body: bytes
--- a/edge_router/proxy/request_router.py
+++ b/edge_router/proxy/request_router.py
@@ -44,7 +44,8 @@
 
 DECISION_BATCH = 8  # requests that are shed or routed before the sockets are read again
 LOG_REPEAT_INTERVAL = 1000.0  # ms within which the same text of the policy is not logged again
-BACKSTOP_DELAY = 20.0  # ms after its deadline at which a request is answered if the policy has not done so
+# A request that the policy has not answered is answered this many ms after its deadline.
+BACKSTOP_DELAY = 20.0
 
 
 class RequestRouter:
--- a/edge_router/proxy/upstream_connections.py
+++ b/edge_router/proxy/upstream_connections.py
@@ -51,9 +51,9 @@
     def accepts(self, request_id: str, now: float, max_streams: int, max_silence: float) -> bool:
         """Return whether one more attempt may be sent on this connection.
 
-        None may be sent if the connection is closed or suspect, or has `max_streams` open attempts. Neither
-        if it has open attempts and both its last response and the start of the oldest of them are
-        `max_silence` ms ago or longer, since the endpoint may have failed.
+        None may be sent if the connection is closed or suspect, or has `max_streams` open attempts. The same
+        holds if it has open attempts, and its last response and the start of the oldest of them are both at
+        least `max_silence` ms ago, since the endpoint may have failed.
 
         A request id in use or among the last `REMEMBERED_IDS` abandoned or answered ones is not used again.
         Otherwise a late or second response to the first attempt would be taken for the response to the next
--- a/edge_router/server/graceful_shutdown.py
+++ b/edge_router/server/graceful_shutdown.py
@@ -15,7 +15,7 @@
 from edge_router.server.client_acceptor import ClientAcceptor
 from edge_router.transport.close_reason import CloseReason
 
-ACCEPT_GRACE_PERIOD = 0.8  # seconds after SIGTERM before the listener and idle clients are closed
+ACCEPT_GRACE_PERIOD = 0.8  # seconds after SIGTERM until the listener is closed and idle clients half-closed
 # The platform sends SIGKILL min(longest deadline of any class, `MAX_COUNTED_DEADLINE`) + `KILL_DELAY` after
 # SIGTERM.
 KILL_DELAY = 0.7  # seconds
