--- a/edge_router/fault_injection/change_log.py
+++ b/edge_router/fault_injection/change_log.py
@@ -20,7 +20,9 @@
 
 SLOW_PIECE_SIZE = 32  # bytes sent at once while the change log is slow
 SLOW_PIECE_INTERVAL = 0.3  # seconds
-PURGE_RETENTION = 6.0  # seconds; routers that restart get the purges of this time in their configuration
+# Seconds. A router that restarts gets the purges of this time in its configuration, except those from before
+# its previous restart.
+PURGE_RETENTION = 6.0
 MOVED_CONNECTION_TIME = 1.5  # seconds for which connections to the previous address stay open after a move
 HEARTBEAT_INTERVAL = 1.0  # seconds
 _SEQUENCE_NUMBER = struct.Struct(">Q")
@@ -28,7 +30,7 @@
 
 @dataclass(slots=True)
 class LogEvent:
-    """One numbered event. `change` is the change that it tells the router, or None for the initial list."""
+    """One numbered event. `change` is the change that it announces, or None for the initial list."""
 
     frame: bytes
     change: EndpointChangeSent | PurgeSent | None = None
@@ -92,9 +94,11 @@
         return len(self._events) in self._last_sent.values()
 
     def restart(self) -> None:
-        """Resets the log for a new router process: event 1 is the current endpoint list.
+        """Resets the log for a new router process and closes all connections.
 
-        The router gets that list in its configuration, so the states in it count as sent now.
+        Event 1 is now the current endpoint list. The router gets that list in its configuration, so the
+        states in it are recorded as sent now, without the start times. `recent_purges` gets the log's purges
+        of the last `PURGE_RETENTION` seconds.
         """
         now = time.monotonic()
         oldest_ms = (time.time() - PURGE_RETENTION) * 1000.0
@@ -105,15 +109,15 @@
             self._observations.add_change(
                 EndpointChangeSent(now, self.router, endpoint.endpoint_id, endpoint.state)
             )
-        self.reset_connections()
+        self.close_connections()
 
     def move(self) -> None:
         """Moves the log to another address: nothing more is sent on connections to the previous one."""
         self._address_generation += 1
         self._notify_connections()
 
-    def reset_connections(self) -> None:
-        """Closes all connections without a shutdown."""
+    def close_connections(self) -> None:
+        """Closes the sockets of all connections at once."""
         for stream in list(self._streams):
             stream.socket.close()
         self._streams.clear()
--- a/edge_router/fault_injection/clients.py
+++ b/edge_router/fault_injection/clients.py
@@ -20,7 +20,9 @@
 )
 from edge_router.fault_injection.traffic import RequestGenerator, encode_client_request
 
-IDLE_TIMEOUT = 3.0  # seconds; below the 4 s after which routers close idle connections (some do so sooner)
+# Seconds after which an idle connection is not used again. Routers close idle client connections after 60 s,
+# sooner if connections or descriptors run out, and when they stop.
+IDLE_TIMEOUT = 3.0
 CONNECT_TIMEOUT = 2.0  # seconds
 MAX_REQUESTS_PER_CONNECTION = 8  # concurrent requests
 NEW_CONNECTION_SHARE = 0.1  # fraction of requests that open a connection although one could be reused
--- a/edge_router/fault_injection/faults.py
+++ b/edge_router/fault_injection/faults.py
@@ -57,7 +57,9 @@
     async def inject(self, fault: ScheduledFault) -> None:
         """Injects one fault.
 
-        Returns when the fault is over, or at once if a process simulates the fault and ends it by itself.
+        Returns when the fault is over. Faults that are active until a given time, which a cache, the proxy or
+        a change log observes by itself, are only started: those of `CACHE_FAULTS` and `PROXY_FAULTS`, and
+        silent and slow change logs.
         """
         cache = self._fleet.caches[fault.target % len(self._fleet.caches)]
         router = self._fleet.routers[fault.target % len(self._fleet.routers)]
@@ -114,8 +116,8 @@
     async def _purge(self, fault: ScheduledFault) -> None:
         """Purges an object or, one time in three, a purge group.
 
-        Caches drop the copies of a purged object only later, and those of a purge group never; meanwhile,
-        routers have to reject these copies.
+        Caches drop the copies of a purged object after the fault's duration, 4 s at most, and those of a
+        purge group never. Routers have to reject the purged copies that a cache still has.
         """
         number = 1 + fault.target % PURGED_OBJECTS
         object_id, group = object_id_of(number), number % GROUPS
@@ -138,11 +140,11 @@
         router.change_log.silent_until = time.monotonic() + duration
 
     async def _reset_log(self, router: RouterSlot, duration: float) -> None:
-        router.change_log.reset_connections()
+        router.change_log.close_connections()
 
     async def _slow_log(self, router: RouterSlot, duration: float) -> None:
         router.change_log.slow_until = time.monotonic() + duration
-        router.change_log.reset_connections()
+        router.change_log.close_connections()
 
     async def _move_log(self, router: RouterSlot, duration: float) -> None:
         await self._reload(router, [free_port()])
--- a/edge_router/fault_injection/fleet.py
+++ b/edge_router/fault_injection/fleet.py
@@ -42,6 +42,8 @@
 PROCESS_READY_TIMEOUT = 10.0  # seconds, for caches and the proxy
 ROUTER_READY_TIMEOUT = 20.0  # seconds
 SIGKILL_AFTER = 3.7  # seconds after SIGTERM
+# Thousandths of a concurrent transfer, as in change log records. The configuration file states the same
+# number, although its weights are whole concurrent transfers.
 ENDPOINT_WEIGHT = 8000
 PARENTS = 2
 UNUSED_PORT = 1  # of parents and the origin: routers name them as sources but never connect to them
@@ -228,7 +230,11 @@
         router.change_log_port = port
 
     def write_config(self, router: RouterSlot) -> Path:
-        """Replaces the router's configuration file; the purges in it count as sent to the router now."""
+        """Replaces the router's configuration file.
+
+        The purges in the file are the change log's `recent_purges`, which are empty afterwards; they count as
+        sent to the router now.
+        """
         purges = [replace(purge, at=time.monotonic()) for purge in router.change_log.recent_purges]
         router.change_log.recent_purges = []
         self.observations.purges += purges
@@ -292,9 +298,10 @@
         run.exit_code = exit_code
 
     async def terminate_router(self, router: RouterSlot) -> None:
-        """Stops a router as planned.
+        """Sends SIGTERM to a router and waits until the end of its process is recorded.
 
-        Its clients send for another 0.2 to 0.4 s after SIGTERM. A router that does not end in time is killed.
+        Its clients send for another 0.2 to 0.4 s, then not until `start_router`. A process that has not ended
+        `SIGKILL_AFTER` seconds after SIGTERM is killed.
         """
         process, run = router.process, router.run
         if process is None or run is None or process.poll() is not None:
--- a/edge_router/fault_injection/messages.py
+++ b/edge_router/fault_injection/messages.py
@@ -1,7 +1,7 @@
-"""Messages between the harness and its processes, as one JSON object per line.
+"""Messages between the harness and the processes of the caches and the proxy, as one JSON object per line.
 
-The object's `type` is the name of the message's class. Commands go to a process on its standard input.
-Reports of what it observed (defined in `observations`) come back on its standard output.
+The object's `type` is the name of the message's class. Commands go to a process on its standard input. On
+its standard output it reports that it is ready (`ProcessReady`) and what it observed (see `observations`).
 """
 
 from __future__ import annotations
@@ -76,7 +76,8 @@
 async def read_harness_commands() -> AsyncIterator[HarnessCommand]:
     """Yields the harness's commands.
 
-    At the end of input, when the harness has ended, it exits the process so that none is left running.
+    At the end of input, which means that the harness has ended, it exits the process: no cache or proxy is
+    left running.
     """
     async for line in trio.wrap_file(sys.stdin):
         command = message_from_json(line, InjectFault, DropCopies)
--- a/edge_router/fault_injection/router_config.py
+++ b/edge_router/fault_injection/router_config.py
@@ -50,7 +50,7 @@
         "cell": 0,
         "zone": ZONES[endpoint.zone],
         "lifecycle": endpoint.state.lifecycle,
-        "weight": endpoint.weight,
+        "weight": endpoint.weight,  # in thousandths, see ENDPOINT_WEIGHT
         "startedAtMs": endpoint.started_ms,
     }
 
--- a/edge_router/fault_injection/scenario.py
+++ b/edge_router/fault_injection/scenario.py
@@ -34,8 +34,8 @@
     DRAIN = "drain"  # the change log announces a cache as draining, then as removed, then as ready
     PURGE = "purge"  # an object or a purge group is purged
     SILENT_LOG = "silent-log"  # the change log sends nothing on its connections
-    RESET_LOG = "reset-log"  # the change log's connections are reset
-    SLOW_LOG = "slow-log"  # the change log resets its connections, then takes seconds to send a list
+    RESET_LOG = "reset-log"  # the change log closes its connections
+    SLOW_LOG = "slow-log"  # the change log closes its connections, then takes seconds to send a list
     MOVED_LOG = "moved-log"  # the change log moves to another address (new configuration and SIGHUP)
     RELOADS = "reloads"  # several such moves in quick succession; the last one returns to the first address
     RESTART = "restart"  # a router gets SIGTERM and restarts
--- a/edge_router/fault_injection/system_call_faults.py
+++ b/edge_router/fault_injection/system_call_faults.py
@@ -34,9 +34,11 @@
 class SystemCallFault:
     """One fault of one call.
 
-    `error` is the name of an errno; if it is empty, `send` and `receive` transfer a single byte. `start` and
-    `end` are seconds of `time.monotonic()`. `chance` is the probability that a call fails while the fault is
-    active. `step` is in seconds. `flag` is the path of a file; the fault is also active while it exists.
+    `error` is the name of an errno; if it is empty, `send` and `receive` transfer a single byte, and other
+    calls are unaffected. `start` and `end` are seconds of `time.monotonic()` in the process, but seconds
+    after the start of the traffic in a `Scenario`. `chance` is the probability that a call fails while the
+    fault is active; it has no effect on the clock. `step` is in seconds. `flag` is the path of a file; the
+    fault is also active while it exists.
     """
 
     call: SystemCall
@@ -56,7 +58,10 @@
 
 
 class FaultSchedule:
-    """All faults of one process, with a separate random generator so that a seed reproduces them."""
+    """All faults of one process, and the random generator that draws which calls fail.
+
+    A seed reproduces the sequence of draws; the call that each draw decides depends on the timing.
+    """
 
     def __init__(self, faults: list[SystemCallFault], seed: int = 0) -> None:
         self.faults = faults
