--- a/benchmarks/explore.py
+++ b/benchmarks/explore.py
@@ -77,6 +77,7 @@
     figures = {}
     generator = np.random.default_rng(7)
     fingerprints = generator.integers(0, 1 << 63, count, dtype=np.uint64)
+    # The label "runs" stands for the sorted runs of fingerprints in a `FingerprintSet`.
     for name, empty_set in (("runs", FingerprintSet()), ("set", PlainSet())):
         visited: Visited = empty_set
         started_at = time.perf_counter()
@@ -101,7 +102,7 @@
     figures = measure_restoring()
     print("Sets of visited states:")
     figures |= measure_visited_sets(100_000 if short else 1_000_000)
-    print("Sleep sets off and on, then a plain set, then restoring by replay, all in one process:")
+    print("Sleep sets off and on; for links also a plain set, replay, depth-first search; in one process:")
     savings = []
     for name in ("clients", "links") if short else DEPTHS:
         depth = DEPTHS[name][depth_index]
--- a/edge_router/cli/demo.py
+++ b/edge_router/cli/demo.py
@@ -99,7 +99,7 @@
         purged_at_ms = self._backends.publish_group_purge(GROUP)
         time.sleep(PURGE_NOTICE)
         self._run_phase(2, f"group {GROUP} is purged")
-        stale = self._backends.count_stale_answers(purged_at_ms)
+        stale = self._backends.count_stale_copy_responses(purged_at_ms)
         _print(f"{stale} answers since then came from copies older than the purge")
         if stale:
             self._problems.append("an answer came from a copy older than the purge")
--- a/edge_router/fault_injection/simulated_backends.py
+++ b/edge_router/fault_injection/simulated_backends.py
@@ -1,4 +1,8 @@
-"""Simulated backends of one router, run in threads: caches, a parent, an origin and a change log."""
+"""Simulated backends of one router, run in threads: caches, a parent, an origin and a change log.
+
+They serve `edge-router demo` and `benchmarks/run_cost.py`. The caches of `edge-router soak`, which simulate
+faults, are in `cache_process`.
+"""
 
 from __future__ import annotations
 
@@ -30,7 +34,7 @@
 FIRST_CACHE_ID, PARENT_ID, ORIGIN_ID = 0x11, 0x21, 0x31
 WEIGHT = 20  # concurrent transfers, for each endpoint
 FIRST_SEQUENCE_NUMBER = 1  # of the endpoint list in the configuration
-PURGE_GRACE_MS = 500.0  # after which a router must no longer answer from purged copies
+PURGE_GRACE_MS = 500.0  # after which no cache response may contain a purged copy
 HEARTBEAT_INTERVAL = 1.0  # seconds
 BODY_PADDING = bytes(2000)
 WRITE_CLASS = "pick-confirm"
@@ -129,8 +133,8 @@
         body = f"{object_id:x}:".encode() + BODY_PADDING
         return encode_array(request_id.encode(), b"200", encode_fields(headers), body)
 
-    def count_stale_answers(self, purged_at_ms: float) -> int:
-        """Counts responses with copies older than a purge, sent after the purge's grace period."""
+    def count_stale_copy_responses(self, purged_at_ms: float) -> int:
+        """Counts cache responses with copies older than a purge, sent after the purge's grace period."""
         with self._lock:
             return sum(
                 response.answered_ms > purged_at_ms + PURGE_GRACE_MS and response.created_ms < purged_at_ms
