--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -120,7 +120,7 @@
 
 
 class PolicyHarness:
-    """A routing policy with a clock that the test advances; numbers the requests."""
+    """Passes events to a routing policy, with a clock that the test advances; numbers the requests."""
 
     def __init__(self, settings: Settings | None = None, endpoints: list[Endpoint] | None = None) -> None:
         self.routing_policy = RoutingPolicy(settings or make_settings(), 7)
@@ -149,9 +149,9 @@
         attempt_index: int = 0,
         closed: bool | None = None,
     ) -> list[Action]:
-        """Ends an attempt after `wait` milliseconds.
+        """Ends an attempt after `wait` milliseconds, which is also its reported duration.
 
-        `closed`: whether this ends the request too; by default if the attempt was successful.
+        `closed` is whether this ends the request too; None means only if the outcome is OK.
         """
         is_closed = outcome is Outcome.OK if closed is None else closed
         return self.handle(
@@ -172,7 +172,10 @@
     def update_endpoint(
         self, endpoint_id: int, kind: UpdateKind = UpdateKind.DELTA, **changes: Any
     ) -> list[Action]:
-        """Sends an endpoint list update with one of the original endpoints, except for the given changes."""
+        """Sends an endpoint list update with one of the original endpoints, except for the given changes.
+
+        Changes of earlier calls are not kept.
+        """
         original = next(endpoint for endpoint in self.endpoints if endpoint.endpoint_id == endpoint_id)
         return self.handle(EndpointListUpdate(kind, (original._replace(**changes),)))
 
@@ -224,7 +227,7 @@
 
 @pytest.fixture
 def policy() -> PolicyHarness:
-    """A routing policy with the default settings and endpoints."""
+    """A policy harness with the default settings and endpoints."""
     return PolicyHarness()
 
 
--- a/tests/router_harness.py
+++ b/tests/router_harness.py
@@ -175,7 +175,11 @@
         return received
 
     def log_lines(self, event: str) -> list[str]:
-        """Returns the lines of the router's log for one event."""
+        """Returns the lines of the router's log for one event.
+
+        The event `endpoint` has four lines after startup, one for each configured endpoint, and one more for
+        each endpoint in a change log event.
+        """
         text = Path(self.directory.name, "log").read_text()
         return [line for line in text.splitlines() if line.split(" ")[1:2] == [event]]
 
--- a/tests/tcp_endpoints.py
+++ b/tests/tcp_endpoints.py
@@ -53,7 +53,8 @@
         self.sock.bind(("127.0.0.1", 0))
         self.sock.listen(0)
         self.port: int = self.sock.getsockname()[1]
-        # Connections that fill the queue. More would compete with the router's in `accept_connection`.
+        # Two connections fill the queue. More would keep trying to connect, and could take the place that
+        # `accept_connection` frees before the router's connection does.
         self._fillers = [socket.socket() for _ in range(2)]
         for filler in self._fillers:
             filler.setblocking(False)
@@ -62,7 +63,8 @@
     def accept_connection(self, timeout: float = TEST_TIMEOUT) -> socket.socket:
         """Accepts connections until one is not a filler, and returns that one.
 
-        A connection that the kernel dropped from the full queue can only be accepted once data is sent on it.
+        If the queue was full when the client completed the handshake, the kernel ignored that last step. Such
+        a connection can only be accepted once its client sends data.
         """
         filler_addresses = [filler.getsockname() for filler in self._fillers]
         self.sock.settimeout(timeout)
