--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -85,6 +85,8 @@
     admission = AdmissionController(settings, RequestTable(), MemoryBudget(), 0.0, 1)
     admission.cpu_credit.set_share(1e-9)
     assert admission.cpu_credit.remaining() < 0
+    # Requests that waited for at most 20 ms (MIN_QUEUE_TIME_LIMIT) are never shed. Those that waited for more
+    # than 360 ms, the queue time limit of the class, are shed whatever the CPU share.
     assert [
         admission.shed_reason(1000.0 + queue_time, 1000.0, 0) for queue_time in (0.0, 20.0, 30.0, 400.0)
     ] == [
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -26,7 +26,7 @@
 
 
 def test_attempt_at_a_removed_endpoint_ends_and_is_retried_elsewhere(router: RouterHarness) -> None:
-    """Its attempts end at once and its connections are closed, as it can't respond any more."""
+    """Attempts at the endpoint end at once and connections to it are closed, as it can't respond any more."""
     client = router.connect()
     client.send_request()
     fetch = router.next_command()
@@ -147,7 +147,10 @@
 
 @pytest.mark.parametrize("event", ["drain", "source", "purge"])
 def test_pending_attempt_is_checked_again_when_its_connection_is_established(event: str) -> None:
-    """Events received while it was pending may have invalidated the decision."""
+    """Meanwhile the cache may start to drain, its source may start to drain, or the object may be purged.
+
+    The attempt must then not be sent to that cache, or only with the new source or with a maximum age.
+    """
     limits = {"connect_timeout": 28_000.0, "conn_idle": 600_000.0, "most_tries": 8, "cancel": True}
     router = RouterHarness(limits=limits)  # time for the kernel to retry several times
     unresponsive, client, (slow, other) = UnresponsiveAddress(), router.connect(), router.caches
@@ -175,6 +178,7 @@
             assert sock.recv(1) == b""  # the connection may end, but nothing is sent
     else:
         parent = encode_endpoint(0x20, state=DRAINING if event == "source" else UP)
+        # The object is in group 17; for `source`, another group is purged, which does not affect it.
         router.change_log.send_event(
             3, GROUP_PURGE, encode_group_purge(17 + (event == "source"), int(time.time() * 1000))
         )
--- a/tests/test_fastcgi_frontend.py
+++ b/tests/test_fastcgi_frontend.py
@@ -62,7 +62,10 @@
 
 @pytest.mark.parametrize("sent", ["nothing", "half a record", "half a request"])
 def test_incomplete_input_times_out_without_affecting_others(router: RouterHarness, sent: str) -> None:
-    """The connection is closed, because no client may keep one open without a complete request."""
+    """An unfinished record, or none at all, ends the connection, as such clients could occupy all of them.
+
+    An unfinished request is answered with 408, and its connection stays usable.
+    """
     usual, client = router.connect(), router.connect()
     usual.send_request()
     fetch = router.next_command()
@@ -91,9 +94,10 @@
     assert client.is_closed()
 
 
-def test_request_above_the_connection_limit_is_answered_as_overloaded(router: RouterHarness) -> None:
+def test_request_above_the_open_request_limit_of_a_connection_is_rejected(router: RouterHarness) -> None:
     client = router.connect()
-    for ident in range(1, 34):
+    for ident in range(1, 34):  # one more than MAX_OPEN_REQUESTS
         client.send_request(ident)
     response = client.read_response()
+    # No status line (0), and the protocol status OVERLOADED (2).
     assert (response.request_id, response.status, response.protocol_status) == (33, 0, 2)
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""The router forwards requests and returns responses unchanged, and one does not block the others."""
+"""Requests and responses are forwarded unchanged, and no request or client blocks the others."""
 
 from __future__ import annotations
 
--- a/tests/test_invalid_responses.py
+++ b/tests/test_invalid_responses.py
@@ -79,7 +79,7 @@
     assert not router.log_lines("upstream-connection-lost")
 
 
-def test_late_or_duplicate_response_is_dropped(router: RouterHarness) -> None:
+def test_duplicate_response_is_not_forwarded(router: RouterHarness) -> None:
     client = router.connect()
     client.send_request(1)
     fetch = router.next_command()
--- a/tests/test_purges.py
+++ b/tests/test_purges.py
@@ -1,4 +1,4 @@
-"""Purges of cached objects, also when the wall clock that dates them is set back."""
+"""Purges of cached objects, also when the router's wall clock is set back."""
 
 from __future__ import annotations
 
@@ -24,7 +24,8 @@
     purged_at = int(time.time() * 1000) - 100
     router.change_log.send_event(2, kind, name + struct.pack(">Q", purged_at))
 
-    def limits_copy_age() -> bool:
+    def send_request_and_check_age_limit() -> bool:
+        """Returns whether the cache was sent a maximum age, which must exclude copies before the purge."""
         client.send_request()
         fetch = router.next_command()
         fetch.reply()
@@ -33,7 +34,7 @@
         assert not max_age or time.time() * 1000 - max_age >= purged_at
         return max_age > 0
 
-    router.wait_until(limits_copy_age, "the purge")
+    router.wait_until(send_request_and_check_age_limit, "the purge")
 
 
 def test_response_older_than_the_purge_is_not_forwarded(router: RouterHarness) -> None:
@@ -48,10 +49,15 @@
 
 
 def test_wall_clock_that_is_set_back_affects_no_timer_and_no_purge(tmp_path: Path) -> None:
+    """The clock is set back by an hour as soon as the file `flag` exists.
+
+    A timeout measured by the wall clock would expire an hour late. A purge at the new wall time seems an hour
+    old to the router, and has to apply as a new one.
+    """
     flag = tmp_path / "set-back"
     tmp_path.joinpath("sitecustomize.py").write_text(
-        "import os, time\nreal = time.time\n"
-        f"time.time = lambda: real() - (3600 if os.path.exists({str(flag)!r}) else 0)\n"
+        "import os, time\nread_clock = time.time\n"
+        f"time.time = lambda: read_clock() - (3600 if os.path.exists({str(flag)!r}) else 0)\n"
     )
     router = RouterHarness(env={"PYTHONPATH": str(tmp_path)})
     client = router.connect()
@@ -63,5 +69,5 @@
     router.change_log.send_event(3, ENDPOINT_CHANGES, router.endpoint_record(router.caches[0], UP))
     router.wait_until(lambda: len(router.log_lines("endpoint")) == 5, "the change after the purge")
     client.send_request()
-    assert int(router.next_command().fields["oldest"]) < 1_000_000
+    assert int(router.next_command().fields["oldest"]) < 1_000_000  # ms; far below the hour
     router.close()
--- a/tests/test_request_validation.py
+++ b/tests/test_request_validation.py
@@ -70,7 +70,7 @@
     assert client.read_response()[:2] == (1, status)
 
 
-def test_id_of_an_open_request_is_rejected(router: RouterHarness) -> None:
+def test_second_request_with_the_id_of_an_open_one_is_rejected(router: RouterHarness) -> None:
     """Rejected because a cache response with this id could be returned to the wrong client."""
     client, other = router.connect(), router.connect()
     client.send_request(X_TXN="9b1f03aa5c7e2d41")
@@ -85,10 +85,10 @@
 
 
 @pytest.mark.parametrize("interval", [0.0, 0.005])
-def test_client_with_too_many_invalid_requests_is_disconnected(
+def test_too_many_invalid_requests_close_the_connection_after_its_open_request(
     router: RouterHarness, interval: float
 ) -> None:
-    """The open request of such a client is answered first, although the client continues to send.
+    """The open request is answered first, although the client continues to send.
 
     The first invalid requests are answered with a status each, and the following ones are rejected with a
     protocol status. The number of the latter depends on how the bytes arrive, unless they arrive one by one.
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -107,8 +107,12 @@
     assert (response.request_id, response.body) == (2, b"in time")
 
 
-def test_reset_of_an_unused_connection_does_not_count_against_the_cache(router: RouterHarness) -> None:
-    """A request that was not sent did not run, so even a write is retried on another connection."""
+def test_loss_of_an_unused_connection_does_not_count_against_the_cache(router: RouterHarness) -> None:
+    """A cache ends the connection after each response, so the next request needs a new one.
+
+    If that counted as a failure, a healthy cache would be ejected and the write rejected. A request that was
+    not sent did not run, so even a write is retried on another connection.
+    """
     client, home = router.connect(), router.caches[0]
     router.change_log.send_event(2, ENDPOINT_CHANGES, router.endpoint_record(router.caches[1], REMOVED))
     router.wait_until(lambda: len(router.log_lines("endpoint")) == 5, "the removal of a cache")
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -10,10 +10,13 @@
 from waiting import TEST_TIMEOUT
 
 
-@pytest.mark.parametrize(("deadline", "within"), [(600.0, 0.8), (9000.0, 3.2)])
-def test_shutdown_answers_requests_before_the_kill_timeout(deadline: float, within: float) -> None:
-    """SIGKILL follows 0.7 s after the longest deadline, which counts as 3 s if it is longer."""
-    classes = [{**entry, "deadline": deadline, "on_time": 500.0} for entry in SETTINGS["classes"]]
+@pytest.mark.parametrize(("deadline_ms", "time_limit_s"), [(600.0, 0.8), (9000.0, 3.2)])
+def test_shutdown_answers_requests_before_the_kill_timeout(deadline_ms: float, time_limit_s: float) -> None:
+    """The time limit ends 0.5 s (KILL_MARGIN) before the platform's SIGKILL.
+
+    SIGKILL follows SIGTERM after the longest deadline of any class, of which at most 3 s count, plus 0.7 s.
+    """
+    classes = [{**entry, "deadline": deadline_ms, "on_time": 500.0} for entry in SETTINGS["classes"]]
     router = RouterHarness(classes=classes)
     client = router.connect()
     client.send_request(X_TTL_MS="60000")
@@ -21,7 +24,7 @@
     router.process.send_signal(signal.SIGTERM)
     assert is_rejection(client.read_response())
     assert router.process.wait(TEST_TIMEOUT) == 0
-    assert router.log_lines("shutdown-started")[0].endswith(f" within_s={within}")
+    assert router.log_lines("shutdown-started")[0].endswith(f" within_s={time_limit_s}")
     assert router.log_lines("shutdown-complete")
     router.close()
 
@@ -41,7 +44,7 @@
     early_fetch.reply(body=b"early")
     assert early.read_response().body == b"early"
     assert router.process.wait(TEST_TIMEOUT) == 0
-    router.process = router.start()
+    router.process = router.start()  # because the fixture checks that the router has not exited
 
 
 def test_shutdown_at_the_connection_limit_loses_no_request() -> None:
@@ -74,4 +77,4 @@
     assert is_rejection(clients[0].read_response())
     assert clients[1].read_response().status == FAILED_STATUS
     assert router.process.wait(TEST_TIMEOUT) == 0
-    router.process = router.start()
+    router.process = router.start()  # because the fixture checks that the router has not exited
--- a/tests/test_unread_input.py
+++ b/tests/test_unread_input.py
@@ -72,9 +72,13 @@
     assert limit <= time_left + MAX_LIMIT_EXCESS
 
 
-def test_oldest_unread_request_determines_the_deduction(
+def test_limit_of_each_unread_request_does_not_exceed_its_remaining_time(
     start_router: Callable[..., RouterHarness],
 ) -> None:
+    """The kernel reports only when the last bytes arrived.
+
+    The earlier requests are therefore charged for the whole time in which the router read nothing.
+    """
     router = start_router()
     client, sent = router.connect(), {}
     assert client.request(path="/status/live").status == 200
@@ -111,10 +115,10 @@
         assert fetches(router, 1) == []
 
 
-def test_half_closed_client_gets_its_response(
+def test_half_closed_client_gets_a_final_response(
     start_router: Callable[..., RouterHarness],
 ) -> None:
-    """No new attempt starts, as the client may have disconnected, but it still gets a final response."""
+    """The router can't tell a half-close from a disconnect, so it has to respond to both."""
     router = start_router()
     client = router.connect()
     client.send_request()
@@ -123,10 +127,13 @@
     assert client.read_response().status in (200, 502, 503)
 
 
-def test_oldest_request_of_an_unaccepted_connection_determines_the_deduction(
+def test_limit_of_requests_on_an_unaccepted_connection_does_not_exceed_their_remaining_time(
     start_router: Callable[..., RouterHarness], tmp_path: Path
 ) -> None:
-    """Requests arrive on one connection while accept(2) fails with ENOBUFS."""
+    """Requests arrive on one connection while accept(2) fails with ENOBUFS.
+
+    The earlier ones are charged for the whole time in which the connection may have been pending.
+    """
     flag = tmp_path / "no-buffers"
     router = start_router(faults=[SystemCallFault(SystemCall.ACCEPT, "ENOBUFS", flag=str(flag))])
     flag.touch()
