--- a/tests/test_peer_clock.py
+++ b/tests/test_peer_clock.py
@@ -10,7 +10,7 @@
 from edge_router.runtime.event_log import set_sink
 from edge_router.runtime.peer_clock import PeerClock
 
-START = 1_000_000.0  # Unix seconds
+START = 1_000_000.0  # seconds; monotonic time equals Unix time at first, so that the two clocks agree
 
 
 class Machine:
@@ -64,6 +64,10 @@
 
 
 def test_first_copy_that_agrees_with_the_corrected_wall_clock_sets_the_offset(machine: Machine) -> None:
+    """The local clock was an hour ahead when the router started, and is corrected soon afterwards.
+
+    One copy whose time agrees with the corrected clock is sufficient evidence.
+    """
     machine.wall_ahead = -3600.0
     assert machine.offset() == 0.0
     machine.receive_copy(0.01, -3600.0)
--- a/tests/test_policy_load.py
+++ b/tests/test_policy_load.py
@@ -62,7 +62,11 @@
     assert started_attempts(policy.request(key=1, size_kb=600.0, wait=5000.0))[0].endpoint_id == order[0]
 
 
-def test_share_of_a_link_has_headroom_until_a_slowdown_is_measured() -> None:
+def test_small_share_of_a_link_may_be_exceeded_until_transfers_are_slow() -> None:
+    """Transfers of one router coincide by chance, which does not show that the link is congested.
+
+    A router that uses the link alone has no headroom beyond the link's capacity.
+    """
     alone, one_of_many = LinkLoad.from_share(20.0, 1.0, 100.0), LinkLoad.from_share(20.0, 0.05, 100.0)
     assert alone.headroom == 0.0
     assert alone.capacity == 20.0
--- a/tests/test_policy_outliers.py
+++ b/tests/test_policy_outliers.py
@@ -1,4 +1,4 @@
-"""Outlier detection: caches and sources that fail, restart, don't respond or are only slow."""
+"""Outlier detection: which caches and sources are ejected when they fail, restart, are silent or are slow."""
 
 from __future__ import annotations
 
--- a/tests/test_policy_placement.py
+++ b/tests/test_policy_placement.py
@@ -88,7 +88,7 @@
     assert len(used[2]) == 1
 
 
-def test_hot_object_is_spread_by_segments_and_each_stays_at_one_cache(policy: PolicyHarness) -> None:
+def test_each_segment_of_a_hot_object_stays_at_one_cache(policy: PolicyHarness) -> None:
     used: dict[int, set[int]] = {}
     previous = started_attempts(policy.request(key=7, size_kb=10.0))[0]
     for n in range(900):
@@ -105,5 +105,5 @@
     policy = PolicyHarness(make_settings(make_class(freshness_lifetime=1000.0, stale_lifetime=3000.0)))
     attempt = started_attempts(policy.request())[0]
     assert attempt.max_age == 1000.0
-    assert attempt.fill_mode & 8
+    assert attempt.fill_mode & 8  # FillMode.BACKGROUND_REFRESH
     assert started_attempts(policy.end_attempt(attempt, Outcome.RESET))[0].max_age == 4000.0
--- a/tests/test_policy_popularity.py
+++ b/tests/test_policy_popularity.py
@@ -31,7 +31,7 @@
     assert popularity.cache_rank(123_456_789) == 0
 
 
-def test_new_policy_caches_everything_at_the_lowest_rank() -> None:
+def test_all_objects_have_the_lowest_rank_until_enough_requests_are_recorded() -> None:
     popularity = Popularity(40_000.0)
     record_mixed_requests(popularity, MIN_RANKED_REQUESTS - 1)
     assert popularity.cache_rank(0) == popularity.cache_rank(123_456_789) == 1
--- a/tests/test_policy_robustness.py
+++ b/tests/test_policy_robustness.py
@@ -50,7 +50,7 @@
     assert started_attempts(policy.request())[0].endpoint_id in CACHES
 
 
-def test_single_router_without_capacity_settings_works() -> None:
+def test_attempt_starts_without_settings_of_fleet_size_and_capacities() -> None:
     settings = make_settings(
         fleet_size=0,
         routers_by_zone=(),
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -285,20 +285,20 @@
 
 
 def test_no_copy_older_than_a_purge_is_accepted(policy: PolicyHarness) -> None:
-    assert started_attempts(policy.request(key=9))[0].max_age == 0.0
+    assert started_attempts(policy.request(key=9))[0].max_age == 0.0  # no limit
     held = started_attempts(policy.request(key=9))[0]
-    policy.handle(PurgeReceived(200.0, 0, 9), 1.0)
+    policy.handle(PurgeReceived(200.0, 0, 9), 1.0)  # object 9 was purged 200 ms before
     sent = started_attempts(policy.request(key=9, wait=50.0))[0]
     assert 0 < sent.max_age < 250.0
-    assert not sent.fill_mode & 1
+    assert not sent.fill_mode & 1  # FillMode.COALESCE
     again = started_attempts(policy.end_attempt(held, Outcome.RESET))[0]
     assert 0 < again.max_age < 252.0
 
 
 def test_purge_of_a_group_covers_its_objects(policy: PolicyHarness) -> None:
-    policy.handle(PurgeReceived(0.0, 3, 0))
+    policy.handle(PurgeReceived(0.0, 3, 0))  # group 3, the default of the requests
     assert 0 < started_attempts(policy.request(key=4, wait=0.0))[0].max_age < 1.0
-    assert started_attempts(policy.request(key=4, purge_group=2))[0].max_age == 0.0
+    assert started_attempts(policy.request(key=4, purge_group=2))[0].max_age == 0.0  # no limit
 
 
 def test_latest_purge_counts_and_expires(policy: PolicyHarness) -> None:
@@ -306,7 +306,7 @@
     policy.handle(PurgeReceived(300.0, 0, 9), 100.0)
     assert started_attempts(policy.request(key=9, wait=0.0))[0].max_age < 100.1
     assert started_attempts(policy.request(key=9, wait=5000.0))[0].max_age > 0.0
-    assert started_attempts(policy.request(key=9, wait=10_000.0))[0].max_age == 0.0
+    assert started_attempts(policy.request(key=9, wait=10_000.0))[0].max_age == 0.0  # no limit
 
 
 def test_class_freshness_still_limits_the_age_after_a_purge() -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -36,7 +36,7 @@
     return sent
 
 
-def test_hundreds_of_endpoints_and_routers() -> None:
+def test_router_in_a_large_fleet_uses_only_caches_of_its_zone_and_many_sources() -> None:
     nodes = [Endpoint(n + 1, 0, 0.0, READY, n, n % 40, 1.0) for n in range(400)]
     nodes += [Endpoint(1000 + n, 1, 0.0, READY, 0, 0, 1.0) for n in range(100)]
     settings = make_settings(
@@ -46,6 +46,7 @@
         PolicyHarness(settings, [*nodes, Endpoint(ORIGIN + 5000, 2, 0.0, READY, 0, 0, 1.0)]), 300
     )
     assert len({attempt.source_id for attempt in sent}) > 50
+    # There are 40 zones; cache ids start at 1 in zone 0, so those in the router's zone 1 are 2, 42, 82, ...
     assert {attempt.endpoint_id % 40 for attempt in sent} == {2}
 
 
@@ -65,7 +66,7 @@
     assert request_and_answer_each(policy, 60)
 
 
-def test_zone_with_one_cache() -> None:
+def test_only_cache_of_a_zone_gets_all_attempts() -> None:
     sent = request_and_answer_each(
         PolicyHarness(endpoints=[n for n in make_endpoints() if n.endpoint_id not in CACHES[1:]]), 40
     )
@@ -93,7 +94,7 @@
         assert started_attempts(actions) or isinstance(actions[-1], Reject)
 
 
-def test_weights_that_change_with_every_list_update() -> None:
+def test_changing_and_implausible_weights_are_tolerated() -> None:
     policy = PolicyHarness(make_settings(endpoints_weighted=True))
     for turn, weight in enumerate((0.0, 1e-9, 4.0, 1e9, -3.0) * 4):
         policy.update_endpoint(CACHES[turn % 4], weight=weight)
