--- a/tests/test_import_levels.py
+++ b/tests/test_import_levels.py
@@ -1,4 +1,7 @@
-"""Packages import only from their own level and lower levels, and the core does not load heavy libraries."""
+"""Packages import only from their own level and lower levels, and some may not load heavy modules.
+
+Request routing, sessions and the model are loaded without trio, the server without the command line.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +26,7 @@
     "model_checker": 7,
     "fault_injection": 7,
     "cli": 8,
-    "": 0,
+    "": 0,  # modules directly in `edge_router`
 }
 
 
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -1,6 +1,6 @@
 """Race conditions on real sockets.
 
-The tests force them by change log events, paused peers and connections that are not accepted.
+The tests force them by change log events, signals, and connections that are not accepted.
 """
 
 from __future__ import annotations
@@ -59,7 +59,7 @@
     return False
 
 
-class HealthHandler:
+class AcceptingHandler:
     """A session handler that answers every request with 200."""
 
     def __init__(self) -> None:
@@ -81,10 +81,10 @@
         return True
 
     def on_aborted(self, connection: ClientSession, request_id: int) -> None:
-        """No attempt is in flight."""
+        """Does nothing, as the handler starts no attempts."""
 
     def on_disconnected(self, connection: ClientSession, request_id: int) -> None:
-        """No attempt is in flight."""
+        """Does nothing, as the handler starts no attempts."""
 
 
 def connections_to(unresponsive: UnresponsiveAddress) -> int:
@@ -121,9 +121,10 @@
 
 
 @pytest.mark.parametrize("how", ["abort", "close"])
-def test_disconnect_of_a_client_being_closed_aborts_its_attempt(
+def test_disconnect_on_a_connection_being_closed_aborts_the_attempt(
     start_router: Callable[..., RouterHarness], how: str
 ) -> None:
+    """The router closes the connection because of invalid requests, while an earlier request is open."""
     router = start_router()
     client = router.connect()
     client.send_request(1)
@@ -146,7 +147,7 @@
         ours, theirs = socket.socketpair()
         with ours, theirs:
             ours.setblocking(False)
-            handler, budget = HealthHandler(), MemoryBudget()
+            handler, budget = AcceptingHandler(), MemoryBudget()
             budget.limit = 1e6
             connection = ClientConnection(ours, handler, Clock().now, budget)
             async with trio.open_nursery() as nursery:
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -48,13 +48,15 @@
     ) + struct.pack(f">{len(load)}f", *load)
 
 
-OTHER_EVENTS = [
-    struct.pack(">BIdHQ", 10, 3, 20.0, 4, 0),
-    struct.pack(">BII", 20, 3, 8),
-    struct.pack(">BIIBIHd", 40, 3, 8, 0, 0xA000001, 80, 1.0),
+# Events for which the policy returns no actions, if request 8 does not exist.
+EVENTS_WITHOUT_ACTIONS = [
+    struct.pack(">BIdHQ", 10, 3, 20.0, 4, 0),  # purge
+    struct.pack(">BII", 20, 3, 8),  # timer fired
+    struct.pack(">BIIBIHd", 40, 3, 8, 0, 0xA000001, 80, 1.0),  # response started
+    # Health check result, with one load value.
     struct.pack(">BIdBIHB", 100, 3, 1.0, 0, 0xA000001, 80, 1) + struct.pack(">f", 0.25),
-    struct.pack(">BIHH", 90, 3, 1, 2) + b"hi",
-    struct.pack(">BII", 110, 3, 8),
+    struct.pack(">BIHH", 90, 3, 1, 2) + b"hi",  # peer message
+    struct.pack(">BII", 110, 3, 8),  # client disconnected
 ]
 
 
@@ -83,11 +85,12 @@
     assert [count for count, _ in replies] == [0, 0, 2]
     start = struct.unpack_from(">BIIIHdIHBdB", replies[2][1])
     assert start == (80, 3, 8, 0xA000001, 80, 4000.0, 0xA000002, 80, 1, 0.0, 0)
+    # The timer follows the StartAttempt record of 39 bytes.
     assert struct.unpack_from(">BII", replies[2][1], 39) == (110, 3, 8)
 
 
 def test_every_event_is_decoded() -> None:
-    for record in OTHER_EVENTS:
+    for record in EVENTS_WITHOUT_ACTIONS:
         assert serve_batches(batch(launch(3), endpoint_list(3), record, request(3, 9)))[0][0] == 2
     assert serve_batches(
         batch(launch(3), endpoint_list(3), request(3, 8)),
@@ -100,12 +103,14 @@
     first = batch(launch(3), stop, launch(3), endpoint_list(3), launch(4))
     replies = serve_batches(first, batch(request(3, 1), request(4, 1)))
     assert replies[1][0] == 3
+    # Instance 4 has no endpoints. Its rejection follows a StartAttempt (39 bytes) and a SetTimer (17 bytes).
     assert struct.unpack_from(">BII", replies[1][1], 56) == (60, 4, 1)
 
 
 def test_actions_are_encoded() -> None:
     adapter = SimulatorAdapter()
     adapter.handle_batch(0.0, 2, launch(3) + endpoint_list(3))
+    # Actions have codes separate from those of events: 60 is a rejection here, the end of an attempt there.
     expected = [
         (messages.CancelAttempt(1, 2), (30, 3, 1, 2), ">BIIB"),
         (messages.Fail(1), (40, 3, 1), ">BII"),
--- a/tests/test_system_call_failures.py
+++ b/tests/test_system_call_failures.py
@@ -37,6 +37,7 @@
 def fetch_status(router: RouterHarness, client: FastCgiClient, request_id: int = 1, **what: Any) -> int:
     """Sends a request, answers its first attempt with a copy filled from the origin, returns its status."""
     client.send_request(request_id, **what)
+    # Only the time of a copy that was just filled from the origin is evidence about the peers' clocks.
     router.next_command().reply(body=b"good", tell="via_origin", waited=3)
     return client.read_response().status
 
@@ -97,6 +98,7 @@
         client.request(request_id=request_id, path="/svc/page", X_TTL_MS="2000").status
         for request_id in range(1, 8)
     ]
+    # The first two may fail: copies seem an hour old until three (MIN_CLEAR_EVIDENCE) have shown the error.
     assert statuses[2:] == [200] * 5
     assert len(router.log_lines("peer-clock-adjusted")) == 1
 
@@ -115,7 +117,10 @@
 def test_unreadable_statistics_do_not_stop_the_router(
     start_router: Callable[..., RouterHarness], error: str
 ) -> None:
-    """The fault lasts until after a statistics line was due."""
+    """The fault lasts until after a statistics line was due.
+
+    It begins 2 s after the process is started; the first line is due 5 s (REPORT_INTERVAL) after startup.
+    """
     now = time.monotonic()
     check_serving_after_fault(
         start_router(faults=[SystemCallFault(SystemCall.OPEN, error, now + 2.0, now + 7.5)]), now + 7.7
