--- a/edge_router/model_checker/copying.py
+++ b/edge_router/model_checker/copying.py
@@ -59,9 +59,9 @@
 def _number_classes(names: Iterable[tuple[str, str]]) -> None:
     """Registers a number for each class, by which pickles in this process refer to it.
 
-    Looking up classes by name would take a quarter of the time of a copy. Other processes do not know the
-    numbers. They therefore stay registered for unpickling, but are registered for pickling only while a state
-    is captured, so that other processes can read all other pickles.
+    Looking up classes by name would take a quarter of the time of a copy. The numbers are valid only in this
+    process. They stay registered for unpickling. `Pickle.capture` registers them for pickling, and only while
+    it runs, so that all other pickles use class names that other processes can read.
     """
     for name in names:
         if name not in _class_numbers:
--- a/edge_router/model_checker/expander.py
+++ b/edge_router/model_checker/expander.py
@@ -57,7 +57,10 @@
         self._settled: set[int] = set()  # states of the last depth that this process has settled
 
     def expand(self, entry: Entry) -> Expansion:
-        """Takes the steps that the entry lists; at the last depth, settles the states that they lead to."""
+        """Takes the steps that the entry lists; at the last depth, settles the states that they lead to.
+
+        A state without enabled steps is settled itself.
+        """
         machine = replay(self._factory, entry.steps)
         enabled = machine.enabled()
         if not enabled:
@@ -106,16 +109,19 @@
 
     make_factory: Callable[..., MachineFactory]
     args: tuple[Any, ...]
-    depth: int
-    reduce: bool = True
-    copying: str = "pickle"
+    depth: int  # maximum number of steps
+    reduce: bool = True  # leave out transitions by sleep sets
+    copying: str = "pickle"  # how states are restored: pickle, deepcopy or replay
 
 
 _current: tuple[Setup, Expander] | None = None  # the search that this process works on
 
 
 def _expand_all(job: tuple[Setup, list[Entry]]) -> list[Expansion]:
-    """Expands some entries, with the expander of the previous call if the search is the same."""
+    """Expands some entries, with the expander of the previous call if the setup is equal.
+
+    That expander remembers the states that it has settled, also from an earlier search.
+    """
     global _current
     setup, entries = job
     if _current is None or _current[0] != setup:
--- a/edge_router/model_checker/frontier.py
+++ b/edge_router/model_checker/frontier.py
@@ -25,10 +25,10 @@
 
 
 class _FrontierUnpickler(pickle.Unpickler):
-    """Unpickles a saved frontier; accepts only the classes in `SAVED_CLASSES` and those of numpy.
+    """Unpickles a saved frontier; accepts only the classes in `SAVED_CLASSES` and any name in numpy.
 
-    The classes of the model checker are found by name without their module, so that a file stays readable
-    when a class moves to another module.
+    Each name in `SAVED_CLASSES` is looked up without its module, so that a file stays readable when a class
+    moves to another module.
     """
 
     def find_class(self, module: str, name: str) -> Any:
@@ -55,9 +55,9 @@
     def merge(self, level: list[Entry], expansions: list[Expansion], depth: int) -> None:
         """Merges the expansions of a level, in the order of its entries.
 
-        States of the last depth are not expanded further. Several processes may have settled the same state,
-        but the one that reaches it first in this order always has, so the violation that is found first does
-        not depend on the number of processes.
+        States of the last depth are not expanded further if any of them is new. Several processes may have
+        settled the same state, but the one that reaches it first in this order has always settled it. The
+        violation that is found first therefore does not depend on the number of processes.
         """
         arrivals: list[tuple[Entry, Successor]] = []
         for entry, expansion in zip(level, expansions, strict=True):
@@ -99,6 +99,7 @@
 
     def save(self, path: Path, key: str) -> None:
         """Writes the frontier; after a crash at any time, the file has either the old or the new content."""
+        # Only a FingerprintSet is saved; of a PlainSet, the visited states are lost.
         runs = self.visited.runs() if isinstance(self.visited, FingerprintSet) else []
         body = pickle.dumps((key, runs, self.sleep_sets, self.entries, self.result))
         partial = path.with_suffix(path.suffix + ".part")
--- a/edge_router/model_checker/model/harness.py
+++ b/edge_router/model_checker/model/harness.py
@@ -22,7 +22,8 @@
 from edge_router.runtime.timers import Timers
 
 START = 1_000_000.0  # the Unix second at which every run begins
-# Seconds past the due time of a timer to which a wait goes, so that timers of equal times are due together.
+# `wait` advances the clock this many seconds beyond the next due time, so that timers of equal times are due
+# together.
 CLOCK_STEP = 1e-7
 SHUTDOWN_GRACE = 0.5  # seconds from SIGTERM until all open requests are ended
 MEMORY = 1e6  # bytes, limit of the memory budget
@@ -83,7 +84,7 @@
         self.frontend.ready = True
         # Monotonic seconds at which all open requests are ended after SIGTERM; infinite before it.
         self.shutdown_deadline = math.inf
-        self.expired = False  # that time is over, and all open requests have been ended
+        self.expired = False  # `shutdown_deadline` has passed, and all open requests were ended
 
     def _seconds(self) -> float:
         return self.monotonic_now
--- a/edge_router/model_checker/model/router_model.py
+++ b/edge_router/model_checker/model/router_model.py
@@ -8,8 +8,10 @@
 from edge_router.model_checker.model.state import ModelState
 from edge_router.model_checker.scope import Scope
 
-MAX_SETTLING_STEPS = 400  # default steps after which nothing may be pending any more
-IMMEDIATE_STEPS = ("end", "decide")  # steps of the router that are taken at once, unless the scope is `fine`
+MAX_SETTLING_STEPS = 400  # maximum number of steps, as returned by `default`, that `settle` takes
+# Prefixes of the router's steps that are taken at once, unless the scope is `fine`; `end` also matches
+# `endsession`.
+IMMEDIATE_STEPS = ("end", "decide")
 
 
 class RouterModel:
--- a/edge_router/model_checker/model/steps.py
+++ b/edge_router/model_checker/model/steps.py
@@ -183,10 +183,11 @@
 
 
 def touched_parts(state: ModelState, step: str) -> frozenset[str] | None:
-    """Returns the parts that a step touches: a connection, the client's socket, the log or a limit.
+    """Returns the parts that a step touches: the name of a connection to a cache, or a value of `PARTS`.
 
-    None stands for a step that may reach the decision module, which depends on everything. When only one
-    fault may still be injected, each fault disables all others, so all of them also touch the part `faults`.
+    None stands for a step that is not confined to one part, or that may reach the decision module, which
+    depends on everything. When only one fault may still be injected, each fault disables all others, so all
+    faults that are confined to one part also touch the part `faults`.
     """
     word, arguments = split(step)
     kind = word.rstrip(DIGITS)
--- a/edge_router/model_checker/search.py
+++ b/edge_router/model_checker/search.py
@@ -1,11 +1,13 @@
-"""The order in which states are explored: breadth first with several processes, or depth first with one.
+"""The order in which states are explored: breadth first with one or more processes, or depth first with one.
 
 The breadth-first search splits each level into chunks and merges their expansions in the order in which one
 process would have found them, so that states, transitions and traces are the same for any number of
-processes. An entry of the frontier is the list of steps that leads to a state. A worker replays them once,
-and copies the state for each further step. Sleep sets (Godefroid, "Partial-Order Methods", 1996, chapter 5)
-avoid taking independent steps in several orders where each order leads to the same state. They leave out no
-state; the tests check this by searching with and without them.
+processes. An entry of the frontier has the steps that lead to a state, the steps to take from it, and its
+sleep set. A worker replays the steps once, and copies the state for each further step.
+
+Sleep sets (Godefroid, "Partial-Order Methods", 1996, chapter 5) avoid taking independent steps in several
+orders where each order leads to the same state. They leave out no state; the tests check this by searching
+with and without them.
 """
 
 from __future__ import annotations
@@ -80,7 +82,7 @@
             if self._options.stop_at_first and result.found:
                 break
         self._count_seconds()
-        if result.complete:  # the saved frontier is then empty, and a later run has nothing left to explore
+        if result.complete:  # the saved frontier is empty unless `stop_at_first` ended the search
             self._save()
         return result
 
