--- a/edge_router/model_checker/fingerprint/__init__.py
+++ b/edge_router/model_checker/fingerprint/__init__.py
@@ -1,7 +1,8 @@
 """Encodes a state of the router model in a canonical form, from which its fingerprint is computed.
 
 Times are relative to the present. Requests are named by their position in the scope, and connections by their
-endpoint and order. Thus runs that differ only in those names lead to the same state.
+endpoint and order. Runs that differ only in the absolute time or in the router's own numbering lead to the
+same state.
 
 Each area of the core has a module with its encoders and its part of the ledger. The ledger lists, for each
 class, the fields that are encoded, and those that are left out, with the reason. `check_fields` reports each
--- a/edge_router/model_checker/fingerprint/common.py
+++ b/edge_router/model_checker/fingerprint/common.py
@@ -8,8 +8,8 @@
 from edge_router.decision.messages import Endpoint
 from edge_router.proxy.request_table import ActiveRequest
 
-REFERENCE = "a reference that never changes, to an object that is encoded separately"
-FIXED = "set once, from the settings"
+REFERENCE = "a reference that never changes, to a callback, a clock or an object that is encoded separately"
+FIXED = "set once, at the start"
 REPORTED = "only reported in the log or the statistics; no decision depends on it"
 DERIVED = "determined by fields that are encoded"
 
--- a/edge_router/model_checker/fingerprint/peers.py
+++ b/edge_router/model_checker/fingerprint/peers.py
@@ -22,7 +22,12 @@
     CacheChannel: Fields(
         "listening_endpoint_id connect_deadline never_connects sock pending_ids aborted_ids answered_ids "
         "attempt_numbers unsent",
-        {"connection": REFERENCE, "observer": REFERENCE, "last_responses": DERIVED, "partial": DERIVED},
+        {
+            "connection": REFERENCE,
+            "observer": REFERENCE,
+            "last_responses": "only sent a second time, and the router drops second responses by their id",
+            "partial": DERIVED,
+        },
     ),
     UpstreamSocket: Fields(
         "writable_bytes end _remaining", {"_observer": REFERENCE, "_channel": REFERENCE, "_command": DERIVED}
--- a/edge_router/model_checker/fingerprint/proxy.py
+++ b/edge_router/model_checker/fingerprint/proxy.py
@@ -8,7 +8,6 @@
 from edge_router.decision.messages import StartAttempt
 from edge_router.discovery import endpoint_table, purge_history
 from edge_router.model_checker.fingerprint.common import (
-    DERIVED,
     FIXED,
     REFERENCE,
     REPORTED,
@@ -89,7 +88,13 @@
     response_validation.ResponseValidator: Fields(
         "", {"_settings": FIXED, "_peer_clock": REFERENCE, "_purges": REFERENCE}
     ),
-    purge_history.PurgeHistory: Fields("_purges", {"_retention": FIXED, "_next_sweep": DERIVED}),
+    purge_history.PurgeHistory: Fields(
+        "_purges",
+        {
+            "_retention": FIXED,
+            "_next_sweep": "time of the next cleanup, which only drops purges without effect",
+        },
+    ),
     DiscoveryUpdates: Fields(
         "",
         {
