--- a/edge_router/model_checker/chart.py
+++ b/edge_router/model_checker/chart.py
@@ -75,14 +75,14 @@
         axes.text(-0.75, y, f"{traced.at:.0f} ms", size=7, ha="right", va="center", color="0.4")
     verdict = (
         "; ".join(f"{violation.property_name}: {violation.detail}" for violation in violations)
-        or "nothing is broken"
+        or "no property is violated"
     )
     axes.text(router, -len(taken) - 0.9, verdict, size=8, color="tab:red", ha="center")
     axes.set_xlim(-1.2, len(lanes) - 0.4)
     axes.set_ylim(-len(taken) - 1.4, 1.4)
     axes.axis("off")
     axes.set_title(
-        f"scope {trace.scope.name}" + (f", fault {trace.mutation}" if trace.mutation else ""), size=9
+        f"scope {trace.scope.name}" + (f", mutation {trace.mutation}" if trace.mutation else ""), size=9
     )
     figure.savefig(path, bbox_inches="tight")
     pyplot.close(figure)
--- a/edge_router/model_checker/mutations/__init__.py
+++ b/edge_router/model_checker/mutations/__init__.py
@@ -1,4 +1,4 @@
-"""Mutations: small faults that are planted in the loaded router to test the model checker itself.
+"""Mutations: small faults that are put into the loaded router to test the model checker itself.
 
 Each mutation names a function of the router and a piece of its source text to replace. A model checker that
 does not find all of them can't be trusted. There is one module of mutations for each area of the core.
@@ -27,7 +27,7 @@
 
 
 def plant(name: str) -> None:
-    """Removes the planted mutation, and plants another one unless the name is empty.
+    """Removes the present mutation, and applies another one unless the name is empty.
 
     Raises KeyError for an unknown name, and MutationError if the source no longer has the text to replace.
     """
--- a/edge_router/model_checker/mutations/common.py
+++ b/edge_router/model_checker/mutations/common.py
@@ -9,16 +9,19 @@
 
 
 class Mutation(NamedTuple):
-    """A fault in one function of the router, and the scopes in which the model checker must find it."""
+    """A fault in one function of the router, and the scopes that are searched for a violation.
+
+    Any violation counts as found; the tests also require the expected property.
+    """
 
     name: str
     owner: Any  # the class or module that holds the function
     function: str
     old: str  # must occur exactly once in the source of the function
     new: str  # replaces `old`
-    scopes: tuple[str, ...]  # searched in this order
-    breaks: str  # name of the property that the fault violates
-    also: str = ""  # name of a second mutation, applied too, which removes a guard that would hide the fault
+    scopes: tuple[str, ...]  # searched in this order until one finds a violation; also `codecs`, `channel`
+    breaks: str  # name of the property that it is expected to violate
+    also: str = ""  # name of a second mutation that is needed to make the fault visible
 
 
 class MutationError(Exception):
--- a/edge_router/model_checker/reach.py
+++ b/edge_router/model_checker/reach.py
@@ -81,17 +81,17 @@
     (
         "decision/copy_tracker.py",
         "has_copy|record",
-        "the load of a congested link, which the operators' bench plays",
+        "the load of a congested link, which the operators' bench covers",
     ),
     (
         "decision/link_loads.py",
         "is_congested|check_zone_link_congestion",
-        "the load of a congested link, which the operators' bench plays",
+        "the load of a congested link, which the operators' bench covers",
     ),
     (
         "decision/link_load.py",
         "update_capacity|expected_slowdown",
-        "the load of a congested link, which the operators' bench plays",
+        "the load of a congested link, which the operators' bench covers",
     ),
     (
         "decision/slow_start.py",
@@ -118,7 +118,7 @@
     (
         "runtime/timers.py",
         "next_due|_run_callback",
-        "cancelled timers, and callbacks that raise, which only faults cause",
+        "cancelled timers, and callbacks that raise, which only mutations cause",
     ),
     (
         "proxy/accounting.py",
@@ -143,7 +143,7 @@
     (
         "proxy/request_router.py",
         "_handle_event",
-        "an exception in a decision, which only seeded faults cause",
+        "an exception in a decision, which only mutations cause",
     ),
     (
         "proxy/request_router.py",
@@ -210,7 +210,7 @@
     (
         "proxy/admission.py",
         "",
-        "no scope exceeds the CPU share of a whole core by waiting; the operators' bench does under load",
+        "no time passes before a decision, so no request is shed; the operators' bench sheds under load",
     ),
     ("", "__len__|statistics|log_statistics", "counts that only the statistics report"),
 )
@@ -289,7 +289,7 @@
     for case, scope in HARD_CASES.items():
         yield f"  {scope:10} {case}"
     cover = _explore_under_coverage(depth)
-    statements = missed = unexplained = 0
+    statements = missed = unexplained = 0  # `unexplained` counts functions, the others lines
     for name in CORE:
         file = _file_coverage(cover, name)
         statements += file.statements
--- a/edge_router/model_checker/trace.py
+++ b/edge_router/model_checker/trace.py
@@ -83,14 +83,14 @@
     steps: Steps
     property_name: str
     detail: str
-    mutation: str = ""  # the planted fault; empty for the real code
+    mutation: str = ""  # its name; empty for the real code
 
     def to_json(self) -> str:
         """Returns the text of the file, which is the same for equal traces."""
         table = {
             "format": FORMAT,
             "scope": asdict(self.scope),
-            "seed": self.mutation,
+            "seed": self.mutation,  # the key of the file format for a mutation
             "steps": list(self.steps),
             "property": self.property_name,
             "why": self.detail,
@@ -154,13 +154,13 @@
         rule = PROPERTIES[self.property_name]
         lines = [f"{self.property_name}: {rule.rule} ({rule.source})"]
         if self.mutation:
-            lines.append(f"with the seeded fault {self.mutation}")
+            lines.append(f"with the mutation {self.mutation}")
         lines += [f"{step.at:9.1f} ms  {step.text}" for step in taken]
         lines += [
             f"           broken: {violation.property_name}: {violation.detail}" for violation in violations
         ]
         if not violations:
-            lines.append("           nothing is broken")
+            lines.append("           no property is violated")
         return "\n".join(lines)
 
 
--- a/tests/model_checker_helpers.py
+++ b/tests/model_checker_helpers.py
@@ -22,13 +22,13 @@
     )
 
 
-def small(name: str, **bounds: object) -> scope.Scope:
+def small_scope(name: str, **bounds: object) -> scope.Scope:
     """Returns one of the small scopes, with other bounds."""
     return scope.named(scope.SMALL, name).with_bounds(**bounds)
 
 
-def explored(bounds: scope.Scope, processes: int = 4, mutation: str = "", **options: object) -> Result:
-    """Explores a scope, with a mutation planted if one is named."""
+def explore_scope(bounds: scope.Scope, processes: int = 4, mutation: str = "", **options: object) -> Result:
+    """Explores a scope, with a mutation applied if one is named."""
     with WorkerPool(processes) as workers:
         result = explorations.explore(bounds, workers, Options(**options), mutation)  # type: ignore[arg-type]
     mutations.plant("")
--- a/tests/test_model_checker_cli.py
+++ b/tests/test_model_checker_cli.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 import pytest
-from model_checker_helpers import run_command, small
+from model_checker_helpers import run_command, small_scope
 
 from edge_router.model_checker import mutations
 from edge_router.model_checker.trace import Trace, model_factory, shrink
@@ -57,7 +57,7 @@
 
 
 def test_trace_is_shortened_saved_and_reported(tmp_path: Path) -> None:
-    factory = model_factory(small("confirm"), "reset-told-as-never-run")
+    factory = model_factory(small_scope("confirm"), "reset-told-as-never-run")
     try:
         long_steps = (
             "ask 0",
@@ -70,7 +70,7 @@
             "end c2.0",
         )
         steps = shrink(factory, long_steps, "run-is-run")
-        trace = Trace(small("confirm"), steps, "run-is-run", "", "reset-told-as-never-run")
+        trace = Trace(small_scope("confirm"), steps, "run-is-run", "", "reset-told-as-never-run")
         assert len(steps) < len(long_steps)
         assert Trace.from_json(trace.to_json()) == trace
         assert "resets the connection" in trace.report()
--- a/tests/test_model_checker_properties.py
+++ b/tests/test_model_checker_properties.py
@@ -1,4 +1,4 @@
-"""The model checker finds every seeded fault, its hard cases hold, and faults of kept traces stay fixed."""
+"""The model checker finds every mutation, its hard cases hold, and saved traces need their mutation."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 TRACES = sorted((Path(__file__).parent / "traces").glob("*.json"))
 
 
-def test_every_seeded_fault_is_found_and_every_property_is_violated_by_one() -> None:
+def test_every_mutation_is_found_and_every_property_is_violated_by_one() -> None:
     found = explorations.search_mutations(
         [mutation.name for mutation in mutations.MUTATIONS], min(8, os.cpu_count() or 1)
     )
@@ -42,14 +42,14 @@
 
 
 @pytest.mark.parametrize("path", TRACES, ids=lambda path: path.stem)
-def test_faults_of_kept_traces_stay_fixed(path: Path) -> None:
+def test_saved_trace_violates_its_property_only_with_its_mutation(path: Path) -> None:
     trace = Trace.read(path)
-    assert trace.mutation, "a kept trace names the mutation that plants its fault again"
+    assert trace.mutation, "a saved trace has to name its mutation"
     try:
         _, violations = trace.replay()
         assert trace.property_name in {violation.property_name for violation in violations}
-        without_fault = Trace(trace.scope, trace.steps, trace.property_name, trace.detail)
-        assert without_fault.replay()[1] == []
-        assert "nothing is broken" in without_fault.report()
+        without_mutation = Trace(trace.scope, trace.steps, trace.property_name, trace.detail)
+        assert without_mutation.replay()[1] == []
+        assert "no property is violated" in without_mutation.report()
     finally:
         mutations.plant("")
--- a/tests/test_model_checker_search.py
+++ b/tests/test_model_checker_search.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import pytest
-from model_checker_helpers import explored, small, violations_of
+from model_checker_helpers import explore_scope, small_scope, violations_of
 
 from edge_router.model_checker import explorations, search
 from edge_router.model_checker.expander import Entry
@@ -19,8 +19,8 @@
 
 @pytest.mark.parametrize(("name", "depth"), [("links", 6), ("confirm", 6), ("drain", 4), ("limits", 4)])
 def test_sleep_sets_leave_out_no_state_and_no_violation(name: str, depth: int) -> None:
-    unreduced = explored(small(name, depth=depth), reduce=False, plain_set=True)
-    reduced = explored(small(name, depth=depth), reduce=True)
+    unreduced = explore_scope(small_scope(name, depth=depth), reduce=False, plain_set=True)
+    reduced = explore_scope(small_scope(name, depth=depth), reduce=True)
     assert (reduced.states, reduced.depth, violations_of(reduced)) == (
         unreduced.states,
         unreduced.depth,
@@ -31,14 +31,14 @@
 
 def test_sleep_sets_save_transitions_where_connections_are_established_together() -> None:
     assert (
-        explored(small("clients", depth=6)).transitions
-        < explored(small("clients", depth=6), reduce=False).transitions
+        explore_scope(small_scope("clients", depth=6)).transitions
+        < explore_scope(small_scope("clients", depth=6), reduce=False).transitions
     )
 
 
 def test_search_order_and_number_of_processes_do_not_change_the_states() -> None:
-    bounds = small("confirm", depth=6)
-    single, parallel = explored(bounds, processes=1), explored(bounds, processes=4)
+    bounds = small_scope("confirm", depth=6)
+    single, parallel = explore_scope(bounds, processes=1), explore_scope(bounds, processes=4)
     assert (single.states, single.transitions, violations_of(single)) == (
         parallel.states,
         parallel.transitions,
@@ -50,9 +50,9 @@
 
 
 def test_mutation_gives_the_same_violations_with_one_process_and_with_four() -> None:
-    bounds = small("confirm", depth=6)
-    single = explored(bounds, processes=1, mutation="reset-told-as-never-run")
-    parallel = explored(bounds, processes=4, mutation="reset-told-as-never-run")
+    bounds = small_scope("confirm", depth=6)
+    single = explore_scope(bounds, processes=1, mutation="reset-told-as-never-run")
+    parallel = explore_scope(bounds, processes=4, mutation="reset-told-as-never-run")
     assert violations_of(single)
     assert violations_of(single)[0] == violations_of(parallel)[0]
     assert {prop for _, prop in violations_of(single)} == {prop for _, prop in violations_of(parallel)}
--- a/tests/test_model_checker_states.py
+++ b/tests/test_model_checker_states.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from model_checker_helpers import small
+from model_checker_helpers import small_scope
 
 from edge_router.model_checker import scope
 from edge_router.model_checker.copying import DeepCopy, Pickle, Replay, StateCopier, run
@@ -25,16 +25,19 @@
 
 
 def test_encoding_ignores_the_order_of_independent_steps_but_no_difference_in_state() -> None:
-    start = model_factory(small("clients"))
+    start = model_factory(small_scope("clients"))
     reference = run(start, ("ask 0", "ask 1", "decide", "up c1.0", "up c1.1")).encode()
     assert run(start, ("ask 0", "ask 1", "decide", "up c1.1", "up c1.0")).encode() == reference
     assert run(start, ("ask 0", "ask 1", "decide", "up c1.0")).encode() != reference
     assert run(start, ("ask 0", "ask 1", "decide", "up c1.0", "up c1.1", "wait")).encode() != reference
 
 
-@pytest.mark.parametrize("copier", [Replay(model_factory(small("links"))), DeepCopy(), Pickle()])
+@pytest.mark.parametrize("copier", [Replay(model_factory(small_scope("links"))), DeepCopy(), Pickle()])
 def test_each_copier_restores_the_same_state(copier: StateCopier) -> None:
-    start, steps = model_factory(small("links")), ("ask 0", "decide", "up c1.0", "wait", "fire", "up c1.1")
+    start, steps = (
+        model_factory(small_scope("links")),
+        ("ask 0", "decide", "up c1.0", "wait", "fire", "up c1.1"),
+    )
     model = run(start, steps)
     copier.capture(model, steps)
     for further in (("hit c1.0 0",), ("reset c1.1", "end c1.1")):
