--- a/edge_router/model_checker/fingerprint/proxy.py
+++ b/edge_router/model_checker/fingerprint/proxy.py
@@ -8,7 +8,6 @@
 from edge_router.decision.messages import StartAttempt
 from edge_router.discovery import endpoint_table, purge_history
 from edge_router.model_checker.fingerprint.common import (
-    DERIVED,
     FIXED,
     REFERENCE,
     REPORTED,
@@ -58,11 +57,11 @@
             "_random": "replaced by a source without state, which always returns the middle of the range",
             "_max_retry_after": FIXED,
             "_priority": FIXED,
-            "_max_queue_time": FIXED,
+            "_queue_time_limits": FIXED,
             "_requests": REFERENCE,
             "_budget": REFERENCE,
             "_max_requests": FIXED,
-            "_bytes_per_kb": FIXED,
+            "_bytes_per_stated_kb": FIXED,
         },
     ),
     RequestAccounting: Fields(
@@ -89,7 +88,13 @@
     response_validation.ResponseValidator: Fields(
         "", {"_settings": FIXED, "_peer_clock": REFERENCE, "_purges": REFERENCE}
     ),
-    purge_history.PurgeHistory: Fields("_purges", {"_retention": FIXED, "_next_sweep": DERIVED}),
+    purge_history.PurgeHistory: Fields(
+        "_purges",
+        {
+            "_retention": FIXED,
+            "_next_sweep": "time of the next cleanup, which only drops purges without effect",
+        },
+    ),
     DiscoveryUpdates: Fields(
         "",
         {
@@ -126,14 +131,14 @@
     ),
     UpstreamConnection: Fields(
         "endpoint_id address opened_at attempts abandoned_ids answered_ids suspect "
-        "last_received_at last_used_at channel",
+        "last_response_at last_used_at channel",
         {"_owner": REFERENCE},
     ),
     request_table.RequestTable: Fields(
         "_by_number _by_request_id", {"_last_number": "requests are named by their position in the scope"}
     ),
     request_table.ActiveRequest: Fields(
-        "incoming deadline reserved_bytes answered backstop_timer expired attempts",
+        "incoming deadline reserved_bytes answered backstop_timer ended_by_shutdown attempts",
         {"request_number": "requests are named by their position in the scope"},
     ),
     request_table.Attempt: Fields(
@@ -209,7 +214,7 @@
         frame.time(request.deadline),
         request.reserved_bytes,
         request.answered,
-        request.expired,
+        request.ended_by_shutdown,
         _timer_state(request.backstop_timer),
         tuple(_attempt(attempt, frame) for attempt in request.attempts),
     )
@@ -258,7 +263,7 @@
         tuple(sorted(connection.abandoned_ids)),
         tuple(sorted(connection.answered_ids)),
         connection.suspect,
-        frame.time(connection.last_received_at),
+        frame.time(connection.last_response_at),
         frame.time(connection.last_used_at),
     )
 
--- a/edge_router/server/startup.py
+++ b/edge_router/server/startup.py
@@ -10,7 +10,7 @@
 
 from edge_router.config.platform_file import ConfigUnreadableError, RouterConfig, read_config
 from edge_router.runtime.event_log import log
-from edge_router.runtime.system_errors import is_local_shortage
+from edge_router.runtime.system_errors import is_local_failure
 
 RETRY_PERIOD = 5.0  # seconds for which a step is retried; the platform waits 30 s for a router to be ready
 RETRY_DELAY = 0.05  # seconds between two attempts
@@ -21,9 +21,9 @@
 
 
 def retry_transient_errors(step: Callable[[], Result]) -> Result:
-    """Runs the step until it succeeds and returns its result.
+    """Runs the step until it succeeds and returns its result; blocks the process meanwhile.
 
-    Raises the step's error if it is not transient, or after `RETRY_PERIOD`.
+    Raises the step's error if it is not transient, or if the step still fails after `RETRY_PERIOD`.
     """
     started_at = time.monotonic()
     last_error: Exception | None = None
@@ -36,7 +36,7 @@
             last_error = error
             time.sleep(RETRY_DELAY)
         else:
-            # Logged only after success: the caller reports an error that persists, and one line is enough.
+            # Logged only after success: an error that persists is raised, and one report of it is enough.
             if last_error is not None:
                 log("start-delayed", reason=str(last_error), by_ms=(time.monotonic() - started_at) * 1000.0)
             return result
@@ -46,7 +46,7 @@
     """Returns whether a retry of the step may succeed."""
     if isinstance(error, ConfigUnreadableError):
         return error.errno is not None and error.errno not in PERMANENT_FILE_ERRORS
-    return isinstance(error, OSError) and (is_local_shortage(error) or error.errno == errno.EADDRINUSE)
+    return isinstance(error, OSError) and (is_local_failure(error) or error.errno == errno.EADDRINUSE)
 
 
 def load_config() -> RouterConfig:
