--- a/edge_router/decision/__init__.py
+++ b/edge_router/decision/__init__.py
@@ -1,1 +1,1 @@
-"""All decisions: a policy that takes events and returns actions, without I/O."""
+"""The routing decisions: a policy that takes events and returns actions, without I/O."""
--- a/edge_router/decision/messages.py
+++ b/edge_router/decision/messages.py
@@ -1,7 +1,9 @@
-"""The events and actions that cross the border of the decision module; no logic.
+"""The events that the decision package takes, and the actions that it returns.
 
-Source: WIRE and BENCH. Times are milliseconds of the caller's clock, sizes KB, endpoint ids opaque integers.
-A class, zone or role is its index in the lists of the settings.
+Times are milliseconds of the caller's clock, durations and ages milliseconds, sizes KB; endpoint ids are
+opaque integers. A class, zone or role is given by its index in the lists of the settings.
+
+Source: the operators' page `WIRE-robinbeam.md`, sections "Frames", "Requests" and "Outcome codes".
 """
 
 from __future__ import annotations
@@ -13,7 +15,7 @@
 
 
 class EndpointState(IntEnum):
-    """State of a listed endpoint."""
+    """The state of a listed endpoint."""
 
     DRAINING = 0
     GONE = 1
@@ -21,7 +23,7 @@
 
 
 class UpdateKind(IntEnum):
-    """Kind of an update of the endpoint list."""
+    """What an update of the endpoint list contains."""
 
     DELTA = 0
     FULL = 1
@@ -45,7 +47,7 @@
 
 
 class FillResult(IntEnum):
-    """What an outcome tells of the copy or the fill behind it."""
+    """Where the response came from, or why the fill failed."""
 
     NONE = 0
     HIT = 1
@@ -73,14 +75,14 @@
 
 
 class EndpointListUpdate(NamedTuple):
-    """The endpoint list, or what has changed in it."""
+    """The whole endpoint list, or the endpoints that changed."""
 
     kind: UpdateKind
     endpoints: tuple[Endpoint, ...]
 
 
 class RequestReceived(NamedTuple):
-    """A client's request, which must get exactly one final answer."""
+    """A client's request, which must get exactly one final answer within `time_remaining`."""
 
     request_number: int
     class_index: int
@@ -92,7 +94,12 @@
 
 
 class AttemptEnded(NamedTuple):
-    """The end of one attempt."""
+    """An attempt has ended.
+
+    `attempt_index` counts the attempts of the request from 0, in the order in which they were started.
+    `fill_result` is a `FillResult`, or another number if the cache sends an unknown one. `fill_wait` is how
+    long the fill waited for its first byte. `load_report` has the values of `Settings.load_report_fields`.
+    """
 
     request_number: int
     attempt_index: int
@@ -106,7 +113,7 @@
 
 
 class ResponseStarted(NamedTuple):
-    """The response of a streamed request has started."""
+    """The response to a streamed request has started."""
 
     request_number: int
     attempt_index: int
@@ -120,13 +127,13 @@
 
 
 class TimerFired(NamedTuple):
-    """A timer has fired."""
+    """The timer that was set with this token has fired."""
 
     token: int
 
 
 class PurgeReceived(NamedTuple):
-    """An object, or with key 0 a whole group, was purged `age` milliseconds ago."""
+    """An object, or with `object_key` 0 a whole purge group, was purged `age` milliseconds ago."""
 
     age: float
     purge_group: int
@@ -155,7 +162,7 @@
 
 
 class FillMode(IntEnum):
-    """Flags that tell a cache how to fill on a miss."""
+    """Flags that control how a cache fills on a miss."""
 
     COALESCE = 1
     CACHED_ONLY = 2
@@ -164,7 +171,12 @@
 
 
 class StartAttempt(NamedTuple):
-    """Sends the request to a cache, with instructions for a miss."""
+    """Sends the request to a cache, with instructions for a miss.
+
+    `source_id` is the endpoint to fill from; the cache itself if it must not fill. With `cache_rank` 0 the
+    object is not cached. `max_age` is the maximum age of an acceptable copy, 0 for no limit. `fill_mode`
+    combines `FillMode` flags.
+    """
 
     request_number: int
     endpoint_id: EndpointId
@@ -173,7 +185,7 @@
     cache_rank: int
     max_age: float
     fill_mode: int
-    start_before: float = float("inf")  # later its deduplication window is over
+    start_before: float = float("inf")  # later the deduplication window has passed
 
 
 class CancelAttempt(NamedTuple):
@@ -184,32 +196,32 @@
 
 
 class RejectionReason(StrEnum):
-    """Why a request was rejected; for the log and the statistics."""
+    """Why a request was rejected, for the log and the statistics."""
 
-    CLASS = "class"  # its class is unknown
+    CLASS = "class"  # the request's class is unknown
     NO_CACHE = "no_cache"  # no cache could take it
-    TIME = "time"  # its deadline has passed
-    RETRY_BUDGET = "retry_budget"
-    LINK = "link"  # the zone's link is overloaded
+    TIME = "time"  # the request's deadline has passed
+    RETRY_BUDGET = "retry_budget"  # the budget is used up, or no cache may take the retry
+    LINK = "link"  # the zone's link is congested
     ORIGIN = "origin"  # the origin is overloaded
 
 
 class Reject(NamedTuple):
-    """Final answer: rejected, a retry is harmless."""
+    """Final answer: the request is rejected; a retry does no harm."""
 
     request_number: int
     retry_after: float
-    reason: str = ""  # a RejectionReason, for the operators
+    reason: str = ""  # the value of a RejectionReason, for the log
 
 
 class Fail(NamedTuple):
-    """Final answer: failed; a retry may do harm."""
+    """Final answer: the request failed; a retry may do harm."""
 
     request_number: int
 
 
 class SetTimer(NamedTuple):
-    """Asks for a TimerFired event at `fire_at`."""
+    """Requests a `TimerFired` event with this token at `fire_at`."""
 
     token: int
     fire_at: float
--- a/edge_router/decision/outcome_recorder.py
+++ b/edge_router/decision/outcome_recorder.py
@@ -1,6 +1,7 @@
-"""What is learned from the end of an attempt or from its silence: of its cache, its source and the origin.
+"""Records what the end of an attempt, or its silence, shows about its cache, its source and the origin.
 
-Source: WIRE, the outcomes and fill results of an attempt; the judgements are ours.
+The outcomes and fill results of attempts are described on the operators' page `WIRE-robinbeam.md`, section
+"Outcome codes".
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 
 
 class OutcomeRecorder:
-    """Attributes the outcome of an attempt to the cache, the source or the links between."""
+    """Attributes the outcome of each attempt to its cache, its source or the links between them."""
 
     def __init__(
         self,
@@ -36,7 +37,7 @@
         copies: CopyTracker,
         report: Callable[[LogMessage], None],
     ) -> None:
-        """`report` takes a message for each endpoint that is ejected."""
+        """`report` is called with a log message for each endpoint that is ejected."""
         self._directory = directory
         self._loads = loads
         self._popularity = popularity
@@ -46,7 +47,7 @@
     def record_end(
         self, now: float, pending: PendingRequest, attempt: AttemptRecord, event: AttemptEnded
     ) -> None:
-        """An attempt ended."""
+        """Records the end of an attempt."""
         result = event.fill_result
         if result in (FillResult.FILLED_BY_ORIGIN, FillResult.ORIGIN_FAILED):
             self._loads.record_origin_fetch(now, result == FillResult.FILLED_BY_ORIGIN)
@@ -64,7 +65,7 @@
         self._directory.cache_outliers[attempt.endpoint_id].record_success(now)
         if result == FillResult.HIT:
             self._loads.record_hit(now, attempt, pending.work, event.duration)
-            attempt.parent_charge.work = 0.0  # it never reached the parent
+            attempt.parent_charge.work = 0.0  # the request never reached the parent
         if result == FillResult.HIT or self._popularity.cache_rank(request.object_key):
             self._copies.record(now, request, attempt.endpoint_id)
         if result in (FillResult.FILLED, FillResult.FILLED_BY_ORIGIN):
@@ -93,11 +94,11 @@
             if cache.is_new_reset(now, attempt.sent_at):
                 self._cache_failed(now, attempt, RESET_SCORE)
             if cache.is_available(now):
-                # It may be tried again, as it may well hold the object, unlike the next one.
+                # A retry may go to the same cache, which may already hold the object, unlike the next one.
                 pending.tried_endpoints.discard(attempt.endpoint_id)
 
     def record_overdue(self, now: float, attempt: AttemptRecord) -> None:
-        """An attempt is overdue: attributed to its cache or, if that has answered since, to its source."""
+        """Counts an overdue attempt against its cache or, if that has answered since, against its source."""
         attempt.overdue = True
         if self._directory.cache_outliers[attempt.endpoint_id].last_success < attempt.sent_at:
             self._cache_failed(now, attempt)
--- a/edge_router/decision/purges.py
+++ b/edge_router/decision/purges.py
@@ -1,7 +1,8 @@
-"""Recent purges, and the age beyond which a cached copy may be from before one.
+"""Recent purges, and the age beyond which a cached copy may be older than a purge. Times are milliseconds.
 
-Source: PROTOCOL, the purge events of the change log, and the settings `heed_within` and `purge_settles`.
-Times are milliseconds.
+Sources: the operators' pages `PROTOCOL-robinbeam.md`, section "The change log" (purge events), and
+`WIRE-robinbeam.md`, sections "Settings" (`heed_within`, `purge_settles`) and "Invariants" (rule 5: no copy
+older than a purge).
 """
 
 from __future__ import annotations
@@ -12,18 +13,18 @@
 from edge_router.decision.messages import PurgeReceived
 from edge_router.decision.settings import Settings
 
-PURGE_RETENTION_FACTOR = 1.5  # purges are remembered for this multiple of the time that old copies may last
-MIN_COPY_AGE = 0.001  # the least age in an order; 0 would mean the default
-WHOLE_OBJECT = -1  # in place of a group, in the key of an object's purge
+PURGE_RETENTION_FACTOR = 1.5  # of the settle time, within which old copies disappear
+MIN_COPY_AGE = 0.001  # milliseconds; an attempt's maximum age of 0 would mean no limit
+WHOLE_OBJECT = -1  # stands for the purge group in the key of an object's purge
 
 
 def purge_retention(settings: Settings) -> float:
-    """Milliseconds for which a purge is remembered, after which no copy from before it is left."""
+    """The time in milliseconds for which a purge is remembered; after it no older copy is left."""
     return settings.purge_settle_time * PURGE_RETENTION_FACTOR + settings.purge_notice_time
 
 
 class PurgeRecord(NamedTuple):
-    """The last purge of an object or group."""
+    """The last purge of an object or purge group."""
 
     purged_at: float
     received_at: float
@@ -33,18 +34,18 @@
 
 
 class RecentPurges:
-    """The purges that are younger than the retention time, after which all old copies have gone."""
+    """The purges that were received within the retention time; after it no older copies are left."""
 
     def __init__(self, retention: float) -> None:
-        """`retention` in milliseconds."""
+        """Remembers purges for `retention` milliseconds."""
         self._retention = retention
-        self._purges: dict[tuple[int, int], PurgeRecord] = {}  # by object and group
+        self._purges: dict[tuple[int, int], PurgeRecord] = {}  # by object and purge group
         self._next_cleanup_at = -math.inf
 
     def record(self, now: float, event: PurgeReceived) -> None:
-        """Records a purge of an object or, with no object, of a group.
+        """Records the purge of an object or, if `object_key` is 0, of a purge group.
 
-        An age beyond the retention time comes from a clock that is wrong, and counts as 0.
+        An age beyond the retention time means that a clock is wrong, and counts as 0.
         """
         key = (event.object_key, WHOLE_OBJECT) if event.object_key else (0, event.purge_group)
         age = event.age if event.age <= self._retention else 0.0
@@ -57,7 +58,7 @@
             }
 
     def max_copy_age(self, now: float, object_key: int, purge_group: int) -> float:
-        """The greatest age of a copy from after the last purge; infinite where nothing was purged lately."""
+        """The maximum age of a copy newer than the last purge; infinite without a recent purge."""
         purges = (
             self._purges.get((object_key, WHOLE_OBJECT), NO_PURGE),
             self._purges.get((0, purge_group), NO_PURGE),
--- a/edge_router/decision/retry_budget.py
+++ b/edge_router/decision/retry_budget.py
@@ -1,16 +1,16 @@
 """The retry budget: limits retries and hedged requests to a part of the requests.
 
-Source: ours, after the retry budgets of Finagle and gRPC. Without it an overload would be multiplied.
+Without a limit, retries would multiply an overload. The design follows the retry budgets of Finagle and gRPC.
 """
 
 from __future__ import annotations
 
-RETRY_RATIO = 0.1  # retries and hedged requests earned by each request
-RETRY_BURST = 20.0  # the most that can be saved up
+RETRY_RATIO = 0.1  # tokens earned by each request; a retry or hedged request takes one
+RETRY_BURST = 20.0  # tokens that can be saved at most
 
 
 class RetryBudget:
-    """A token bucket that each request fills a little and each retry or hedged request empties by one."""
+    """A token bucket that requests fill, and from which each retry or hedged request takes one token."""
 
     def __init__(self, ratio: float = RETRY_RATIO, burst: float = RETRY_BURST) -> None:
         """Starts full, with `burst` tokens; each request earns `ratio` tokens."""
@@ -19,11 +19,11 @@
         self.tokens = burst
 
     def record_request(self) -> None:
-        """A request was received."""
+        """Adds the tokens that a new request earns."""
         self.tokens = min(self.burst, self.tokens + self.ratio)
 
     def refund(self) -> None:
-        """A hedged request proved to be needed."""
+        """Returns the token of a hedged request that was needed, as it was answered first."""
         self.tokens = min(self.burst, self.tokens + 1.0)
 
     def try_spend(self) -> bool:
--- a/edge_router/decision/rules.py
+++ b/edge_router/decision/rules.py
@@ -1,8 +1,11 @@
-"""What may be sent, repeated, rejected and passed on: each rule of the pages as one plain function.
+"""The rules on what may be sent, repeated and rejected, one function each.
 
-The routing policy, the attempt dispatcher (just before the first byte), the request router and the run-time
-invariant checker all call these functions, so that they cannot differ. Sources: WIRE, 'Invariants'; PROTOCOL,
-'The rules on sockets'. Times are milliseconds of the caller's clock.
+The routing policy, the attempt dispatcher (just before it writes the first byte), the request router and the
+run-time invariant checker all call these functions, so that they apply the same rules. Times are milliseconds
+of the caller's clock.
+
+Sources: the operators' pages `WIRE-robinbeam.md`, section "Invariants", and `PROTOCOL-robinbeam.md`, section
+"The rules on sockets".
 """
 
 from __future__ import annotations
@@ -20,12 +23,12 @@
 class SendDenial(StrEnum):
     """Why an attempt may not be sent."""
 
-    ANSWERED = "answered"  # its request has its final answer, or its client has left
-    PURGED = "purged"  # a purge was received after it was ordered
-    TIME_OVER = "time-over"  # its deadline has passed
-    WINDOW_OVER = "window-over"  # the deduplication window of a repeat has passed
-    ENDPOINT_NOT_READY = "node-not-ready"  # the endpoint drains or is gone
-    SOURCE_NOT_READY = "source-not-ready"
+    ANSWERED = "answered"  # the request has its final answer, or its client has disconnected
+    PURGED = "purged"  # a purge was received after the policy started the attempt
+    TIME_OVER = "time-over"  # the request's deadline has passed
+    WINDOW_OVER = "window-over"  # the attempt is a repeat, and the deduplication window has passed
+    ENDPOINT_NOT_READY = "node-not-ready"  # the cache is draining or removed
+    SOURCE_NOT_READY = "source-not-ready"  # the source of its fill is draining or removed
 
 
 def send_denial(
@@ -40,8 +43,9 @@
 ) -> SendDenial | None:
     """Why an attempt whose first byte is about to be written may not be sent; None if it may.
 
-    `answered`: its request has its final answer, or its client has disconnected; `purged`: a purge came after
-    the order; `deadline`, `start_before`: the times by which it has to be answered and to start.
+    `answered`: the request has its final answer, or its client has disconnected. `purged`: a purge was
+    received after the policy started the attempt. `deadline`, `start_before`: the times by which the request
+    has to be answered and the attempt has to start.
     """
     if answered:
         return SendDenial.ANSWERED
@@ -59,7 +63,10 @@
 
 
 def repeat_until(settings: ClassSettings, first_sent: float | None) -> float:
-    """The time by which a repeat has to start, after a first attempt sent at `first_sent` (or None)."""
+    """The time by which a repeat has to start; infinite where no deduplication window applies.
+
+    `first_sent` is when the first attempt that may have run was sent, None if there is none.
+    """
     if first_sent is None or settings.idempotency is not Idempotency.WITH_KEY:
         return math.inf
     return first_sent + settings.deduplication_window
@@ -73,9 +80,11 @@
     candidate: Endpoint,
     listed: Mapping[EndpointId, Endpoint],
 ) -> bool:
-    """Whether an attempt may go to the candidate, after a first one that may have run at `first_endpoint`.
+    """Whether an attempt may be sent to `candidate`.
 
-    Without such a first attempt it always may. An unlisted endpoint shares no scope with another.
+    `first_endpoint` and `first_sent` describe the first attempt that may have run; None allows any candidate.
+    If that endpoint is no longer `listed`, its zone and cell are unknown, and only the same endpoint will
+    recognise the repeat.
     """
     if settings.idempotency is Idempotency.IDEMPOTENT or first_endpoint is None:
         return True
@@ -94,7 +103,7 @@
 
 
 def may_reject(settings: ClassSettings, may_have_run: bool) -> bool:
-    """Whether such a request may be rejected, which promises that a retry does no harm."""
+    """Whether a request of this class may be rejected, which tells the client that a retry does no harm."""
     if settings.idempotency is Idempotency.IDEMPOTENT or not may_have_run:
         return True
     return (
--- a/edge_router/decision/settings.py
+++ b/edge_router/decision/settings.py
@@ -1,6 +1,7 @@
-"""The settings that the decisions and the proxy read, typed; `config/settings_reader.py` makes them.
+"""The typed settings that the decisions and the proxy read; `config/settings_reader.py` creates them.
 
-Times are in milliseconds and sizes in KB. A class, zone or role is its index in the lists of the settings.
+Times are in milliseconds, sizes in KB and bandwidths in KB/s. A class, zone or role is given by its index in
+the lists of the settings.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 
 
 class Idempotency(IntEnum):
-    """Whether repeating a request of the class does harm."""
+    """Whether a request may run twice without harm: always, with its idempotency key, or never."""
 
     IDEMPOTENT = 0
     WITH_KEY = 1
@@ -18,7 +19,7 @@
 
 
 class DeduplicationScope(IntEnum):
-    """Which caches discard repeats of a request with an idempotency key together."""
+    """Which caches recognise each other's requests by the idempotency key, and discard repeats."""
 
     ALL = 0
     ZONE = 1
@@ -27,19 +28,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassSettings:
-    """One class of requests."""
+    """The settings of one class of requests."""
 
     name: str
     priority_weight: float
     late_priority_weight: float
     latency_objective: float
-    latency_objective_per_work: float
+    latency_objective_per_work: float  # milliseconds added for each millisecond of the request's work
     deadline: float
     idempotency: Idempotency
     deduplication_scope: DeduplicationScope
-    deduplication_window: float
-    freshness_lifetime: float
-    stale_lifetime: float
+    deduplication_window: float  # from the first attempt; caches recognise repeats within it
+    freshness_lifetime: float  # age up to which a copy is fresh; 0 for no limit
+    stale_lifetime: float  # time after the freshness lifetime in which a stale copy may still be used
     stale_priority_weight: float
     uncacheable: bool
 
@@ -49,11 +50,11 @@
     """The settings of one router."""
 
     classes: tuple[ClassSettings, ...]
-    zone: int
-    fleet_size: int
+    zone: int  # the router's own
+    fleet_size: int  # routers in all zones
     routers_by_zone: tuple[int, ...]
-    zone_link_bandwidth: tuple[float, ...]
-    client_bandwidth: float
+    zone_link_bandwidth: tuple[float, ...]  # of the link into each zone; 0 if unknown
+    client_bandwidth: float  # at which a response is sent at full speed
     parent_role: int
     origin_role: int
     coalesces_fills: bool
@@ -62,7 +63,7 @@
     sibling_fills: str
     slow_start_initial_capacity: float
     slow_start_duration: float
-    overload_factor: float
+    overload_factor: float  # multiple of its capacity that overloads an endpoint within the window
     overload_window: float
     parent_slow_start_initial_capacity: float
     parent_slow_start_duration: float
@@ -79,7 +80,7 @@
     connect_timeout: float
     load_report_fields: tuple[str, ...]
     endpoint_list_polled: bool
-    # Read by the edge router alone; the decisions do without them.
+    # Read by the edge router only; the decisions don't use them.
     zone_names: tuple[str, ...] = ()
     role_names: tuple[str, ...] = ()
     max_in_flight: int = 20_000
--- a/edge_router/decision/slow_start.py
+++ b/edge_router/decision/slow_start.py
@@ -1,7 +1,10 @@
-"""Slow start: limits the work sent to an endpoint that has started lately and is still warming up.
+"""Slow start: limits the work sent to an endpoint that has started recently and is still warming up.
 
-Source: the overload rules of the settings (`cold_from`, `warm_up`, `tip_multiple`, `overload_for`); an
-endpoint that gets more than a multiple of its present capacity within a window fails. Times are milliseconds.
+An endpoint fails if it gets more than a multiple (`tip_multiple`) of its present capacity within a window
+(`overload_for`). Its capacity grows from `cold_from` to 1 in the time `warm_up`. Times are milliseconds.
+
+Source: the operators' page `WIRE-robinbeam.md`, sections "Settings" and "Invariants" (rule 4: a recovering
+endpoint is not overloaded).
 """
 
 from __future__ import annotations
@@ -12,32 +15,39 @@
 
 from edge_router.decision.messages import Endpoint, EndpointId
 
-SAFE_BUDGET_SHARE = 0.6  # part of the budget that is used, as sizes are estimates and routers uneven
+SAFE_BUDGET_SHARE = 0.6  # of the budget; the rest allows for wrong size estimates and uneven routers
 
 
 @dataclass(slots=True)
 class Charge:
-    """One attempt's part of a budget."""
+    """The work that one attempt takes from a budget."""
 
     charged_at: float
-    work: float  # milliseconds of sending at full speed
+    work: float  # milliseconds of sending at full bandwidth
 
 
 class SlowStartBudget:
-    """One router's share of the work that warming endpoints of one role can bear."""
+    """Limits this router's work at endpoints of one role in slow start to its share."""
 
     def __init__(
         self, initial_capacity: float, duration: float, overload_factor: float, overload_window: float
     ) -> None:
-        """`initial_capacity` is the part of its capacity that an endpoint has when it starts."""
+        """`initial_capacity` is the part (0 to 1) of its full capacity that an endpoint has when it starts.
+
+        It fails if it gets more than `overload_factor` times its capacity within `overload_window`.
+        """
         self._initial_capacity = initial_capacity
         self._duration = duration
         self._overload_factor = overload_factor
         self._overload_window = overload_window
-        self.charges: dict[EndpointId, deque[Charge]] = {}  # of the endpoints that are warming up
+        self.charges: dict[EndpointId, deque[Charge]] = {}  # by endpoint in slow start; the oldest first
 
     def available_capacity(self, now: float, started_at: float) -> float:
-        """The least part of its capacity that the endpoint has now; 1 once it is surely warm."""
+        """The part of its full capacity that the endpoint has now at least; 1 once slow start is over.
+
+        It is the capacity at the start of the overload window, when it was lowest. An endpoint whose
+        `started_at` is not positive counts as warm.
+        """
         age = now - started_at
         if started_at <= 0 or age >= self._duration + self._overload_window:
             return 1.0
@@ -45,9 +55,10 @@
         return self._initial_capacity + (1 - self._initial_capacity) * min(1.0, progress)
 
     def allows(self, now: float, endpoint: Endpoint, work: float, transfers: float, share: float) -> bool:
-        """Whether so much work may go there now.
+        """Whether the budget allows `work` milliseconds of sending at the endpoint now.
 
-        `transfers` is how many the endpoint sends at once when warm, `share` this router's part of them.
+        `transfers` is the number of concurrent transfers that the endpoint sustains when warm, `share` this
+        router's part of them (0 to 1).
         """
         available = self.available_capacity(now, endpoint.started_at)
         if available >= 1.0:
@@ -67,13 +78,13 @@
         return sum(charge.work for charge in charges) + work <= allowed
 
     def charge(self, now: float, endpoint_id: EndpointId, work: float) -> Charge:
-        """Charges an attempt if the endpoint is warming up; the charge may be reduced afterwards."""
+        """Charges an attempt if the endpoint is in slow start; the caller may reduce the charge later."""
         charge = Charge(now, work)
         if endpoint_id in self.charges:
             self.charges[endpoint_id].append(charge)
         return charge
 
     def forget_unlisted(self, listed: Container[EndpointId]) -> None:
-        """Drops the charges of endpoints that are listed no more."""
+        """Drops the charges of endpoints that are no longer listed."""
         for endpoint_id in [each for each in self.charges if each not in listed]:
             del self.charges[endpoint_id]
