--- a/edge_router/decision/candidate_selector.py
+++ b/edge_router/decision/candidate_selector.py
@@ -1,7 +1,8 @@
 """The caches and sources that may serve a request, in the order in which they are tried.
 
-Source: DESIGN, the home cache and home parent; the spread of hot objects and the walk past crowded links are
-ours, after consistent hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam).
+The home cache and home parent are described on the operators' page `DESIGN-robinbeam.md`. Hot objects are
+spread over several caches, and congested links are passed over, as in consistent hashing with bounded loads
+(Mirrokni, Thorup and Zadimoghaddam).
 """
 
 from __future__ import annotations
@@ -15,22 +16,23 @@
 from edge_router.decision.placement import segment_key
 from edge_router.decision.popularity import Popularity
 
-HOT_FAIR_SHARE = 0.5  # an object with more than this part of one cache's fair share goes to one cache more
+HOT_FAIR_SHARE = 0.5  # of one cache's fair share; an object uses one more cache for each such part
 
 
 class CandidateSelector:
     """Ranks caches and sources for one request."""
 
     def __init__(self, directory: EndpointDirectory, loads: LinkLoads, popularity: Popularity) -> None:
-        """Reads all three and changes none."""
+        """Reads the three parts of the policy's state, and changes none."""
         self._directory = directory
         self._loads = loads
         self._popularity = popularity
 
     def caches(self, now: float, pending: PendingRequest) -> Iterator[EndpointId]:
-        """The home, spread for a hot object, then the others in hash order, but none that is crowded.
+        """The home cache, then the others in hash order, without those whose link is congested.
 
-        If no cache is available and untried, all are candidates, those already tried last.
+        The first caches of a hot object are ordered by load instead, which spreads it over them. If no cache
+        is both available and untried, all caches are candidates, those already tried last.
         """
         key, directory = segment_key(pending.request), self._directory
         ranked = directory.caches.ranked(key)
@@ -42,12 +44,12 @@
         spread = self._spread(pending.request.object_key, len(ranked))
         if spread > 1 and len(available) > 1:
             available[:spread] = self._by_load(available[:spread])
-        yield from (each for each in available if not self._loads.is_crowded(now, pending, each))
+        yield from (each for each in available if not self._loads.is_congested(now, pending, each))
         if not available:
             yield from sorted(ranked, key=lambda cache_id: cache_id in pending.tried_endpoints)
 
     def _by_load(self, cache_ids: list[EndpointId]) -> list[EndpointId]:
-        loads = {cache_id: self._loads.of(cache_id) for cache_id in cache_ids}
+        loads = {cache_id: self._loads.for_endpoint(cache_id) for cache_id in cache_ids}
 
         def relative_load(cache_id: EndpointId) -> tuple[float, float]:
             load = loads[cache_id]
@@ -56,15 +58,16 @@
         return sorted(loads, key=relative_load)
 
     def _spread(self, object_key: int, caches: int) -> int:
-        """Over how many caches an object goes, by its part of the traffic against a cache's fair share."""
+        """The number of caches that an object uses, by its part of the traffic."""
         if self._popularity.is_warming_up() or not self._popularity.in_top_set(object_key):
             return 1
         return 1 + int(self._popularity.byte_share(object_key) * caches / HOT_FAIR_SHARE)
 
     def sources(self, now: float, pending: PendingRequest, cache_id: EndpointId) -> Iterator[EndpointId]:
-        """The home parent and the next ones in hash order, then the origins; crowded ones after all others.
+        """The available parents in hash order, then the origins, with those that are congested moved back.
 
-        Then the parents that are not available, and at last the cache itself, which fills from nowhere.
+        After them come the parents that are not available, and last the cache itself, which must not fill.
+        An uncacheable request skips the parents.
         """
         key, directory = pending.request.object_key, self._directory
         ranked = () if pending.settings.uncacheable else directory.parents.ranked(key)
@@ -75,7 +78,7 @@
         ]
         yield from sorted(
             available + directory.origins,
-            key=lambda source_id: self._loads.is_crowded(now, pending, source_id),
+            key=lambda source_id: self._loads.is_congested(now, pending, source_id),
         )
         yield from (parent_id for parent_id in ranked if parent_id not in available)
         yield cache_id
--- a/edge_router/decision/copy_tracker.py
+++ b/edge_router/decision/copy_tracker.py
@@ -1,6 +1,6 @@
-"""Which caches probably hold a copy of which object, as they were sent requests for it lately.
+"""Tracks which caches probably hold a copy of an object, by their recent responses.
 
-Source: ours. Times are milliseconds.
+Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -8,21 +8,21 @@
 from edge_router.decision.messages import Endpoint, EndpointId, RequestReceived
 from edge_router.decision.purges import RecentPurges
 
-COPY_LIFETIME = 1.0  # a copy is thought to be in its cache for this many slow-start times
+COPY_LIFETIME_FACTOR = 1.0  # in slow-start durations; a copy used within it is assumed to be cached still
 MAX_TRACKED_COPIES = 20_000
 
 
 class CopyTracker:
-    """The times at which copies were last used, the oldest first."""
+    """The times at which copies were last used, in ascending order."""
 
     def __init__(self, slow_start_duration: float, purges: RecentPurges) -> None:
-        """Reads `purges`, after which a copy is of no use."""
-        self._lifetime = COPY_LIFETIME * slow_start_duration
+        """`purges` has the recent purges, which make older copies unusable; it is only read."""
+        self._lifetime = COPY_LIFETIME_FACTOR * slow_start_duration
         self._purges = purges
         self.last_used: dict[tuple[int, int, EndpointId], float] = {}  # by object, segment and cache
 
     def record(self, now: float, request: RequestReceived, cache_id: EndpointId) -> None:
-        """The cache sent or cached the object; up to two copies that are too old are dropped."""
+        """Records that the cache sent or cached the object; drops up to two copies that are too old."""
         copy = (request.object_key, request.segment, cache_id)
         self.last_used.pop(copy, None)
         self.last_used[copy] = now
@@ -33,7 +33,7 @@
             del self.last_used[oldest]
 
     def has_copy(self, now: float, request: RequestReceived, cache: Endpoint) -> bool:
-        """Whether the cache probably holds a copy from after its start and the last purge."""
+        """Whether the cache probably holds a copy that is newer than its own start and the last purge."""
         used_at = self.last_used.get((request.object_key, request.segment, cache.endpoint_id))
         if used_at is None:
             return False
--- a/edge_router/decision/endpoint_directory.py
+++ b/edge_router/decision/endpoint_directory.py
@@ -1,6 +1,6 @@
 """The endpoint list by role, with the outlier detectors and slow-start budgets of its endpoints.
 
-Source: PROTOCOL, the endpoint list; the roles are those of the settings.
+Source: the operators' page `PROTOCOL-robinbeam.md`, section "The change log"; the settings name the roles.
 """
 
 from __future__ import annotations
@@ -14,19 +14,22 @@
     EndpointState,
     UpdateKind,
 )
-from edge_router.decision.outlier_detection import EJECTION_TIME, OutlierDetector, OutlierDetectors
-from edge_router.decision.placement import RendezvousHash, slow_start_unit
+from edge_router.decision.outlier_detection import EJECTION_TIME_FACTOR, OutlierDetector, OutlierDetectors
+from edge_router.decision.placement import RendezvousHash, slow_start_threshold
 from edge_router.decision.settings import Settings
 from edge_router.decision.slow_start import SlowStartBudget
 
 
 class EndpointDirectory:
-    """The listed endpoints. `caches`, `parents` and `origins` (ids) have only ready ones."""
+    """The listed endpoints. `caches`, `parents` and `origins` (a list of ids) hold only ready ones.
+
+    `caches` holds only those of the router's own zone.
+    """
 
     def __init__(self, settings: Settings) -> None:
         """Starts with an empty list."""
         self._settings = settings
-        self._ejection_time = EJECTION_TIME * max(settings.connect_timeout, 1.0)
+        self._ejection_time = EJECTION_TIME_FACTOR * max(settings.connect_timeout, 1.0)
         self.endpoints: dict[EndpointId, Endpoint] = {}
         self.cache_outliers: OutlierDetectors = defaultdict(OutlierDetector)
         self.source_outliers: OutlierDetectors = defaultdict(OutlierDetector)
@@ -45,7 +48,7 @@
         self._sort_by_role()
 
     def update(self, event: EndpointListUpdate) -> None:
-        """Applies a full list or a change; what is known of endpoints that restarted or left is dropped."""
+        """Applies a full list or a change; drops the state of endpoints that were removed or restarted."""
         before = self.endpoints
         if event.kind is not UpdateKind.DELTA:
             self.endpoints = {}
@@ -83,11 +86,11 @@
         self.caches = RendezvousHash(caches, weighted)
 
     def cache_accepts(self, now: float, key: int, cache_id: EndpointId) -> bool:
-        """Whether the cache is not ejected and, while it warms up, takes this key already."""
+        """Whether the cache is not ejected and, in slow start, already takes this key."""
         return _accepts(now, key, self.caches.endpoints[cache_id], self.cache_outliers, self.cache_budget)
 
     def parent_accepts(self, now: float, key: int, parent_id: EndpointId) -> bool:
-        """Whether the parent is not ejected and, while it warms up, takes this key already."""
+        """Whether the parent is not ejected and, in slow start, already takes this key."""
         return _accepts(now, key, self.parents.endpoints[parent_id], self.source_outliers, self.parent_budget)
 
     def is_available(self, now: float, cache_id: EndpointId, source_id: EndpointId) -> bool:
@@ -96,24 +99,24 @@
         return cache.is_available(now) and source.is_available(now)
 
     def start_trials(self, now: float, cache_id: EndpointId, source_id: EndpointId) -> None:
-        """An attempt is sent; if the ejection of one of the two is just over, it is the trial."""
+        """Records that an attempt is sent; it is the trial of an endpoint whose ejection has just ended."""
         self.cache_outliers[cache_id].start_trial(now, self._ejection_time)
         self.source_outliers[source_id].start_trial(now, self._ejection_time)
 
     def cache_failed(self, now: float, cache_id: EndpointId, sent_at: float, score: float = 1) -> bool:
-        """Records a failed attempt at a cache; True if that ejects it."""
+        """Records a failed attempt at a cache; True if this ejects the cache."""
         return self.cache_outliers[cache_id].record_failure(now, sent_at, self._ejection_time, score)
 
     def source_failed(self, now: float, source_id: EndpointId, sent_at: float) -> bool:
-        """Records a failed fill from a source; True if that ejects it."""
+        """Records a failed fill from a source; True if this ejects the source."""
         return self.source_outliers[source_id].record_failure(now, sent_at, self._ejection_time, 1)
 
 
 def _accepts(
     now: float, key: int, endpoint: Endpoint, outliers: OutlierDetectors, budget: SlowStartBudget
 ) -> bool:
-    """Whether the endpoint is not ejected in its role and, while it warms up, takes this key already."""
+    """Whether the endpoint is not ejected in its role and, in slow start, already takes this key."""
     if not outliers[endpoint.endpoint_id].is_available(now):
         return False
     available = budget.available_capacity(now, endpoint.started_at)
-    return available >= 1.0 or slow_start_unit(key, endpoint.endpoint_id) < available
+    return available >= 1.0 or slow_start_threshold(key, endpoint.endpoint_id) < available
--- a/edge_router/decision/link_loads.py
+++ b/edge_router/decision/link_loads.py
@@ -1,6 +1,7 @@
-"""The loads of all links that answers and fills use: of each endpoint, into the zone, and to the origin.
+"""The loads of all links that responses and fills use: of each endpoint, into the zone, and to the origin.
 
-Source: ours. Times are milliseconds; work is the time of sending at the clients' full bandwidth.
+Times are milliseconds; the work of a request is the time of sending its response at the clients' full
+bandwidth.
 """
 
 from __future__ import annotations
@@ -13,14 +14,15 @@
 from edge_router.decision.pending_request import AttemptRecord, PendingRequest
 from edge_router.decision.settings import Settings
 
-CROWDED_SHARED, CROWDED_ALONE = 0.65, 0.8  # part of the latency objective that sending may take up
-MAX_FILL_SLOWDOWN = 3.0  # one fill is evidence of no more slowdown than this
-FILL_WAIT_LEARNING_RATE = 0.1  # weight of one wait for the first byte of a fill
+# Parts of the latency objective: a link is congested if sending would take longer.
+CONGESTED_SHARED, CONGESTED_ALONE = 0.65, 0.8
+MAX_FILL_SLOWDOWN = 3.0  # a single fill is recorded with no greater slowdown
+FILL_WAIT_LEARNING_RATE = 0.1  # weight of one observation of the wait for the first byte of a fill
 MIN_LATENCY_OBJECTIVE = 0.001  # milliseconds
 
 
 class LinkLoads:
-    """The load of each link, and whether it is crowded: whether an answer over it would come too late."""
+    """The load of each link, and whether it is congested: whether a response over it would come too late."""
 
     def __init__(self, settings: Settings, directory: EndpointDirectory) -> None:
         """Raises ValueError if the settings lack classes."""
@@ -34,25 +36,29 @@
         zone, bandwidths, routers = settings.zone, settings.zone_link_bandwidth, settings.routers_by_zone
         zone_routers = routers[zone] if 0 <= zone < len(routers) else settings.fleet_size
         self._zone_share = 1.0 / max(1, zone_routers)
-        # The threshold is lower beside other routers, whose load during a response is not visible.
-        self._crowded_at = CROWDED_SHARED + (CROWDED_ALONE - CROWDED_SHARED) * self._zone_share
+        # It is lower the more routers share the zone, as the load that they add during a response is unknown.
+        self._congestion_threshold = (
+            CONGESTED_SHARED + (CONGESTED_ALONE - CONGESTED_SHARED) * self._zone_share
+        )
         bandwidth = bandwidths[zone] if 0 <= zone < len(bandwidths) else 0.0
-        self._zone_link_transfers = bandwidth / self._client_bandwidth  # at once; 0 if unknown
+        self._zone_link_transfers = bandwidth / self._client_bandwidth  # concurrent transfers; 0 if unknown
         self.by_endpoint: dict[EndpointId, LinkLoad] = {}
-        self.zone_link = LinkLoad.of_share(
+        self.zone_link = LinkLoad.from_share(
             self._zone_link_transfers, self._zone_share, self._shortest_objective
         )
-        self.origin = LinkLoad.of_share(1.0, 1.0, self._shortest_objective)  # fetches asked for per answer
-        self.fill_wait = 0.0  # how long fills lately waited for their first byte
+        # The slowdown of the origin is the number of fetches requested for each that is answered.
+        self.origin = LinkLoad.from_share(1.0, 1.0, self._shortest_objective)
+        self.fill_wait = 0.0  # moving average of the wait for the first byte of a fill, in milliseconds
 
     def work_of(self, size_kb: float) -> float:
-        """The time of sending so much at full bandwidth."""
+        """The time in milliseconds of sending `size_kb` at full bandwidth."""
         return size_kb / self._client_bandwidth * 1000.0
 
     def transfers_and_share(self, endpoint: Endpoint) -> tuple[float, float]:
-        """The transfers at once that the endpoint bears, and this router's share of them.
+        """The concurrent transfers that the endpoint sustains, and this router's share of them (0 to 1).
 
-        By its weight, or else its part of the links that it feeds; 0 where neither is configured.
+        The transfers are the endpoint's weight or, without weights, its part of the links that it feeds; they
+        are 0 if neither is configured.
         """
         settings = self._settings
         if endpoint.role == settings.parent_role:
@@ -64,39 +70,39 @@
             transfers = self._zone_link_transfers / max(1, len(self._directory.caches.endpoints))
         return endpoint.weight if settings.endpoints_weighted and endpoint.weight > 0 else transfers, share
 
-    def of(self, endpoint_id: EndpointId) -> LinkLoad:
-        """The load of an endpoint's link."""
+    def for_endpoint(self, endpoint_id: EndpointId) -> LinkLoad:
+        """The load of the endpoint's link, created when it is first asked for."""
         load = self.by_endpoint.get(endpoint_id)
         if load is None:
             endpoint = self._directory.endpoints.get(endpoint_id)
             transfers, share = self.transfers_and_share(endpoint) if endpoint else (1.0, 1.0)
-            load = LinkLoad.of_share(transfers, share, self._shortest_objective)
+            load = LinkLoad.from_share(transfers, share, self._shortest_objective)
             self.by_endpoint[endpoint_id] = load
         return load
 
     def forget_unlisted(self) -> None:
-        """Drops the loads of endpoints that are listed no more."""
+        """Drops the loads of endpoints that are no longer listed."""
         for endpoint_id in [each for each in self.by_endpoint if each not in self._directory.endpoints]:
             del self.by_endpoint[endpoint_id]
 
-    def is_crowded(self, now: float, pending: PendingRequest, endpoint_id: EndpointId) -> bool:
-        """Whether the answer would come too late even if it was cached there."""
-        duration = pending.work * self.of(endpoint_id).expected_slowdown(now)
-        return duration > self._crowded_at * pending.latency_objective
+    def is_congested(self, now: float, pending: PendingRequest, endpoint_id: EndpointId) -> bool:
+        """Whether a response from the endpoint would come too late even if it holds a copy."""
+        duration = pending.work * self.for_endpoint(endpoint_id).expected_slowdown(now)
+        return duration > self._congestion_threshold * pending.latency_objective
 
-    def zone_link_is_crowded(self, now: float, pending: PendingRequest) -> bool:
-        """Whether the answer would come too late if it had to be filled.
+    def zone_link_is_congested(self, now: float, pending: PendingRequest) -> bool:
+        """Whether the response would come too late if the object had to be filled.
 
-        If so the expected wait is reduced a little, so that later requests try a fill again.
+        If so, the expected wait is reduced a little, so that later requests try a fill again.
         """
         duration = self.fill_wait + pending.work * self.zone_link.expected_slowdown(now)
-        crowded = duration > self._crowded_at * pending.latency_objective
-        if crowded:
+        congested = duration > self._congestion_threshold * pending.latency_objective
+        if congested:
             self.fill_wait *= 1 - FILL_WAIT_LEARNING_RATE
-        return crowded
+        return congested
 
     def start_attempt(self, pending: PendingRequest, attempt: AttemptRecord) -> None:
-        """Adds an attempt to the cache's link and, if a fill is expected, to those of the zone and source."""
+        """Adds an attempt to the load of its cache and, if it expects a fill, of the zone link and source."""
         attempt.cache_load.in_flight += 1
         attempt.cache_load.in_flight_work += pending.work
         if attempt.fill_expected:
@@ -106,7 +112,7 @@
         attempt.concurrent_fills = self.zone_link.in_flight
 
     def end_attempt(self, pending: PendingRequest, attempt: AttemptRecord) -> None:
-        """Takes off what `start_attempt` added."""
+        """Removes the load that `start_attempt` added."""
         if attempt.fill_expected:
             self.zone_link.in_flight -= 1
             attempt.source_load.in_flight -= 1
@@ -114,27 +120,27 @@
         attempt.cache_load.in_flight_work -= pending.work
 
     def record_origin_fetch(self, now: float, answered: bool) -> None:
-        """The origin was asked for an object."""
+        """Records whether the origin answered a fetch."""
         self.origin.record_transfer(now, self._shortest_objective, self._shortest_objective * answered)
 
     def record_failed_fill(self, pending: PendingRequest) -> None:
-        """A fill failed; it counts as one that waited for the whole latency objective."""
+        """Records a failed fill, as one that waited for the whole latency objective."""
         self.fill_wait += FILL_WAIT_LEARNING_RATE * (pending.latency_objective - self.fill_wait)
 
     def record_hit(self, now: float, attempt: AttemptRecord, work: float, duration: float) -> None:
-        """A cached copy was sent."""
+        """Records the transfer of a cached copy, and learns the capacity of a cache without a weight."""
         attempt.cache_load.record_transfer(now, duration, work)
         if not self._settings.endpoints_weighted and work > 0:
             attempt.cache_load.update_capacity(attempt.concurrent_attempts, duration / work)
 
     def record_fill(self, now: float, attempt: AttemptRecord, work: float, event: AttemptEnded) -> None:
-        """An object was filled; each link on its way accounts for the slowdown the others don't explain."""
+        """Records a fill; each link on its path gets the slowdown that the other links don't explain."""
         self.fill_wait += FILL_WAIT_LEARNING_RATE * (event.fill_wait - self.fill_wait)
         duration = min(max(work, event.duration - event.fill_wait), MAX_FILL_SLOWDOWN * work)
         if self._zone_link_transfers <= 0 and work > 0:
             self.zone_link.update_capacity(attempt.concurrent_fills, duration / work)
         links = [attempt.cache_load, self.zone_link, attempt.source_load]
         slowdowns = [load.slowdown(now) for load in links]
-        for place, load in enumerate(links):
-            others = max(slowdowns[:place] + slowdowns[place + 1 :])
+        for index, load in enumerate(links):
+            others = max(slowdowns[:index] + slowdowns[index + 1 :])
             load.record_transfer(now, duration, max(work, min(duration, work * others)))
--- a/edge_router/decision/outlier_detection.py
+++ b/edge_router/decision/outlier_detection.py
@@ -1,7 +1,7 @@
 """Outlier detection: ejects an endpoint that fails or is silent several times in a row.
 
-Source: ours, after the consecutive-failure ejection of Envoy's outlier detection and the half-open state of a
-circuit breaker. Times are milliseconds.
+It follows the consecutive-failure ejection of Envoy's outlier detection and the half-open state of a circuit
+breaker. Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 
 from edge_router.decision.messages import EndpointId
 
-EJECTION_SCORE = 2  # the summed score of failures without a success between that ejects an endpoint
-RESET_SCORE = 0.5  # of a broken connection; if its process has died, the next connection is refused anyway
-EJECTION_TIME = 4.0  # in connect timeouts; then one attempt tries the endpoint
+EJECTION_SCORE = 2  # an endpoint is ejected once its failures since the last success sum to this
+RESET_SCORE = 0.5  # of a reset connection; lower, as a dead process also refuses the next connection
+EJECTION_TIME_FACTOR = 4.0  # in connect timeouts; after it, a single attempt is sent as a trial
 
 
 @dataclass(slots=True)
 class OutlierDetector:
-    """The failures of one endpoint in one role; a success clears them."""
+    """The failures of one endpoint in one role since its last success."""
 
     last_success: float = -math.inf
     failure_score: float = 0.0
@@ -27,13 +27,16 @@
     last_reset: float = -math.inf
 
     def record_success(self, now: float) -> None:
-        """The endpoint answered; it is ejected no longer."""
+        """Records an answer, which clears the failures and ends an ejection."""
         self.last_success = now
         self.failure_score = 0
         self.ejected_until = -math.inf
 
     def record_failure(self, now: float, sent_at: float, ejection_time: float, score: float = 1.0) -> bool:
-        """An attempt sent at that time failed or is overdue; True if that ejects the endpoint."""
+        """Records that an attempt sent at `sent_at` failed or is overdue; True if this ejects the endpoint.
+
+        An attempt sent before the last success doesn't count.
+        """
         if sent_at <= self.last_success:
             return False
         score_before = self.failure_score
@@ -43,9 +46,9 @@
         return score_before < EJECTION_SCORE <= self.failure_score
 
     def is_new_reset(self, now: float, sent_at: float) -> bool:
-        """Records a broken connection; False if the attempt was sent before the last one.
+        """Records a reset connection; False if the attempt was sent before the last recorded reset.
 
-        A break takes down all attempts on its connection, and must count once.
+        A reset ends all attempts on its connection, and must count only once.
         """
         if sent_at <= self.last_reset:
             return False
@@ -53,11 +56,11 @@
         return True
 
     def is_available(self, now: float) -> bool:
-        """Whether attempts may go there."""
+        """Whether attempts may be sent to the endpoint."""
         return now >= self.ejected_until
 
     def start_trial(self, now: float, ejection_time: float) -> None:
-        """An attempt goes to the endpoint; if its ejection is just over, the others stay away meanwhile."""
+        """Records that an attempt is sent; if it is the trial, the endpoint stays ejected for the others."""
         if self.failure_score >= EJECTION_SCORE:
             self.ejected_until = now + ejection_time
 
--- a/edge_router/decision/pending_request.py
+++ b/edge_router/decision/pending_request.py
@@ -1,6 +1,6 @@
-"""The records of a request without a final answer and of its attempts.
+"""The records of a request that has no final answer yet, and of its attempts.
 
-Source: ours. Times are milliseconds of the router's clock; work is the time of sending at full speed.
+Times are milliseconds of the router's clock; work is the time of sending at full bandwidth.
 """
 
 from __future__ import annotations
@@ -24,10 +24,10 @@
     overdue_at: float
     fill_expected: bool  # the cache probably lacks the object
     parent_charge: Charge  # in the slow-start budget of the source
-    cache_load: LinkLoad  # kept here, as the endpoint may have left the list when the attempt ends
+    cache_load: LinkLoad  # kept here, as the endpoint may be removed before the attempt ends
     source_load: LinkLoad
-    concurrent_fills: int = 0  # this router's fills on the zone link when it was sent, itself included
-    concurrent_attempts: int = 0  # this router's attempts at the cache when it was sent, itself included
+    concurrent_fills: int = 0  # this router's fills on the zone link when it was sent, including it
+    concurrent_attempts: int = 0  # this router's attempts at the cache when it was sent, including it
     pending: bool = True
     may_have_run: bool = True
     overdue: bool = False
@@ -45,21 +45,21 @@
             settings.latency_objective + settings.latency_objective_per_work * work, settings.deadline
         )
         self.attempts: list[AttemptRecord] = []
-        self.missed = False  # a cache that was not to fill lacked the object
-        self.spares_origin = False  # it may not be fetched from the origin
-        self.rejection_reason = RejectionReason.NO_CACHE  # why no attempt could be sent
+        self.missed = False  # a cache that had to answer from its copy had none
+        self.avoids_origin = False  # the object must not be fetched from the origin
+        self.rejection_reason = RejectionReason.NO_CACHE  # used if no attempt can be sent
         self.tried_endpoints: set[EndpointId] = set()
         self.failed_sources: set[EndpointId] = set()
 
-    def first_run(self) -> AttemptRecord | None:
+    def first_possible_run(self) -> AttemptRecord | None:
         """The first attempt that may have run."""
         return next((attempt for attempt in self.attempts if attempt.may_have_run), None)
 
     def start_before(self) -> float:
-        """The time by which an attempt has to start; later the endpoint would not recognise a repeat."""
-        first = self.first_run()
+        """The time by which the next attempt has to start; later a cache would not recognise a repeat."""
+        first = self.first_possible_run()
         return rules.repeat_until(self.settings, first.sent_at if first else None)
 
     def pending_attempts(self) -> int:
-        """How many attempts have not ended."""
+        """The number of attempts that have not ended."""
         return sum(attempt.pending for attempt in self.attempts)
--- a/edge_router/decision/placement.py
+++ b/edge_router/decision/placement.py
@@ -1,8 +1,10 @@
 """Placement of objects on endpoints by weighted rendezvous hashing.
 
-Source: Thaler and Ravishankar, 'Using name-based mappings to increase hit rates' (highest random weight), in
-the logarithmic form for weights of Schindelhauer and Schomaker. The 64-bit mix is the finaliser of SplitMix64
-(Steele, Lea and Flood). All routers must rank alike, so nothing here depends on the process.
+All routers must compute the same rankings, so nothing here depends on the process.
+
+Sources: Thaler and Ravishankar, "Using name-based mappings to increase hit rates" (highest random weight), in
+the logarithmic form for weights by Schindelhauer and Schomaker. `mix64` is the finaliser of SplitMix64
+(Steele, Lea and Flood).
 """
 
 from __future__ import annotations
@@ -13,12 +15,12 @@
 
 from edge_router.decision.messages import Endpoint, EndpointId, RequestReceived
 
-MAX_CACHED_RANKINGS = 20_000
+MAX_CACHED_RANKINGS = 20_000  # least recently used ones are dropped
 MASK_64_BITS = (1 << 64) - 1
 
 
 def mix64(value: int) -> int:
-    """A 64-bit hash of an integer, the same at every router."""
+    """A 64-bit hash of an integer, the same at all routers."""
     value = (value + 0x9E3779B97F4A7C15) & MASK_64_BITS
     value = ((value ^ (value >> 30)) * 0xBF58476D1CE4E5B9) & MASK_64_BITS
     value = ((value ^ (value >> 27)) * 0x94D049BB133111EB) & MASK_64_BITS
@@ -26,22 +28,22 @@
 
 
 def hash_unit(key: int, endpoint_id: EndpointId) -> float:
-    """A number within (0, 1) that belongs to the pair."""
+    """The hash of a key and an endpoint, as a number within (0, 1)."""
     return ((mix64(key ^ mix64(endpoint_id)) >> 11) + 0.5) / (1 << 53)
 
 
-def slow_start_unit(key: int, endpoint_id: EndpointId) -> float:
-    """A number within (0, 1): the available capacity above which a warming endpoint takes the key."""
+def slow_start_threshold(key: int, endpoint_id: EndpointId) -> float:
+    """The available capacity, within (0, 1), above which an endpoint in slow start takes the key."""
     return hash_unit(~key & MASK_64_BITS, endpoint_id)
 
 
 def segment_key(request: RequestReceived) -> int:
-    """The key that places the request; the segments of a large object are spread over the caches."""
+    """The key by which the request is placed; it spreads the segments of a large object over the caches."""
     return mix64(request.object_key + mix64(request.segment)) if request.segment else request.object_key
 
 
 def ranked_endpoints(weights: Sequence[tuple[EndpointId, float]], key: int) -> tuple[EndpointId, ...]:
-    """The endpoints in the order in which they are home to the key."""
+    """The endpoints by descending score for the key; the first is the home of the key."""
     scores = [
         (math.log(hash_unit(key, endpoint_id)) / weight, endpoint_id) for endpoint_id, weight in weights
     ]
@@ -51,15 +53,15 @@
 class RendezvousHash:
     """Weighted rendezvous hashing over a fixed set of endpoints; rankings are cached.
 
-    `endpoints` has them by id. `ranked(key)` gives their ids, the home of the key first.
+    `endpoints` maps ids to endpoints. `ranked(key)` returns the ids, the home of the key first.
     """
 
     def __init__(self, endpoints: Sequence[Endpoint], weighted: bool) -> None:
-        """Without `weighted`, or where an endpoint's weight is 0, it counts as 1."""
+        """If not `weighted`, or if the weight of an endpoint is not positive, its weight counts as 1."""
         self.endpoints = {endpoint.endpoint_id: endpoint for endpoint in endpoints}
         weights = [
             (endpoint.endpoint_id, endpoint.weight if weighted and endpoint.weight > 0 else 1.0)
             for endpoint in endpoints
         ]
-        # A cached method would refer to this object, so that it outlived the endpoint list by a cycle.
+        # A cached method would refer to this object; the reference cycle would keep it after a list update.
         self.ranked = lru_cache(MAX_CACHED_RANKINGS)(partial(ranked_endpoints, weights))
--- a/edge_router/decision/policy.py
+++ b/edge_router/decision/policy.py
@@ -1,9 +1,12 @@
-"""The routing policy: joins the modules of this package into the decisions of one router.
+"""The routing policy: makes the decisions of one router with the other modules of this package.
 
-Source: DESIGN. The ordinary path: aged counts admit the top set of objects, their density ranks them, a
-weighted rendezvous hash shared by all routers names the home cache and, over all parents, the source of a
-fill. The rest handles failures, overload and purges. A policy sees only its own router's traffic.
-Times are milliseconds of the router's clock.
+Decaying request counts select the top set of objects, which the caches admit, and the density of an object
+(requests per KB) sets its cache rank. A weighted rendezvous hash, the same at all routers, selects the home
+cache of an object and, among all parents, the source of its fill. The rest of the policy handles failures,
+overload and purges. A policy sees only the traffic of its own router. Times are milliseconds of the router's
+clock.
+
+Source: the operators' page `DESIGN-robinbeam.md`.
 """
 
 from __future__ import annotations
@@ -43,37 +46,37 @@
 )
 from edge_router.decision.outcome_recorder import OutcomeRecorder
 from edge_router.decision.pending_request import AttemptRecord, PendingRequest
-from edge_router.decision.popularity import COUNT_HALF_LIFE, Popularity
+from edge_router.decision.popularity import COUNT_HALF_LIFE_FACTOR, Popularity
 from edge_router.decision.purges import RecentPurges, purge_retention
 from edge_router.decision.retry_budget import RetryBudget
 from edge_router.decision.settings import Settings
 from edge_router.decision.slow_start import Charge
 
-OVERDUE_OBJECTIVE_SHARE = 0.6  # an attempt is overdue after this part of its latency objective
-OVERDUE_EXPECTED_FACTOR = 1.5  # and not before this multiple of the time that the load lets expect
-MAX_HEDGING_SLOWDOWN = 1.5  # no hedged request is sent over links slowed down by more
-MIN_SILENCE = 3.0  # an overdue attempt counts against its cache after this many connect timeouts
-MAX_ORIGIN_SLOWDOWN = 1.25  # fetches sent to the origin for each that it answers; the rest spare it
-MEAN_WORK_SAMPLES = 1000.0
+OVERDUE_OBJECTIVE_SHARE = 0.6  # of the latency objective, after which an attempt is overdue
+OVERDUE_EXPECTED_FACTOR = 1.5  # times the duration expected at the present load; no attempt is overdue before
+MAX_HEDGING_SLOWDOWN = 1.5  # at this slowdown of its links an available cache causes no hedged request
+MIN_SILENCE_FACTOR = 3.0  # in connect timeouts; silence counts as a failure of the cache after it
+MAX_ORIGIN_SLOWDOWN = 1.25  # fetches sent to the origin for each that it answers; the others avoid it
+MEAN_WORK_SAMPLES = 1000.0  # requests
 TIMER_TOLERANCE = 0.001  # milliseconds by which a timer may fire early
-NEVER_SEEN_BY_A_CACHE = frozenset((Outcome.CONNECT_FAILED, Outcome.NOT_SENT))
+NEVER_REACHED_A_CACHE = frozenset((Outcome.CONNECT_FAILED, Outcome.NOT_SENT))
 
 
 @dataclass(slots=True)
 class MeanWork:
-    """The mean work of the requests of one class, in milliseconds of sending at full speed."""
+    """The mean work of the requests of one class, in milliseconds of sending at full bandwidth."""
 
     requests: int = 0
     mean: float = 0.0
 
     def record(self, work: float) -> None:
-        """Adds a request; the mean follows about the last thousand."""
+        """Adds a request to the mean, which covers about the last thousand requests."""
         self.requests += 1
         self.mean += (work - self.mean) / min(self.requests, MEAN_WORK_SAMPLES)
 
 
 class RoutingPolicy:
-    """Decides for one router: `handle` takes an event and returns the actions it leads to."""
+    """Decides for one router: `handle` takes an event and returns the actions that it causes."""
 
     def __init__(self, settings: Settings, entropy: int) -> None:
         """`entropy` seeds the random choices. Raises ValueError if the settings lack classes."""
@@ -83,7 +86,7 @@
         self.pending: dict[int, PendingRequest] = {}
         self.directory = EndpointDirectory(settings)
         self.loads = LinkLoads(settings, self.directory)
-        half_life = COUNT_HALF_LIFE * max(settings.slow_start_duration, settings.purge_settle_time)
+        half_life = COUNT_HALF_LIFE_FACTOR * max(settings.slow_start_duration, settings.purge_settle_time)
         self.popularity = Popularity(half_life)
         self.purges = RecentPurges(purge_retention(settings))
         self.copies = CopyTracker(settings.slow_start_duration, self.purges)
@@ -98,10 +101,10 @@
             ClientDisconnected: self._on_client_disconnected,
             TimerFired: self._on_timer,
             PurgeReceived: self.purges.record,
-        }  # the start of a response changes nothing, and no health checks are sent
+        }  # ResponseStarted changes no decision; HealthCheckResult never comes, as no health check is started
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Takes one event; returns what is to be done, in order."""
+        """Processes one event; returns the actions to perform, in order."""
         self._actions = []
         if handler := self._handlers.get(type(event)):
             handler(now, event)
@@ -111,7 +114,7 @@
         self._actions.append(action)
 
     def statistics(self, now: float) -> dict[str, float]:
-        """The state that decisions rest on, for the operators."""
+        """The state that decisions depend on, by the names of the statistics that operators read."""
         return {
             "link_fills": float(self.loads.zone_link.in_flight),
             "link_capacity": self.loads.zone_link.capacity,
@@ -141,34 +144,36 @@
             self.popularity.record_request(now, event.object_key, event.size_kb, event.segment)
         pending = PendingRequest(now, event, settings, work)
         self.pending[event.request_number] = pending
-        if not self._send_anywhere(now, pending):
+        if not self._try_candidates(now, pending):
             self._give_up(pending)
 
-    def _send_anywhere(self, now: float, pending: PendingRequest, cached_only: bool = False) -> bool:
+    def _try_candidates(self, now: float, pending: PendingRequest, cached_only: bool = False) -> bool:
         """Sends the request to the first cache and source that may take it; False if there is none.
 
-        While the zone's link is crowded, a cache is only asked, once, for a copy that it holds; while the
-        origin is overloaded, a part of the requests spares it.
+        While the zone's link is congested, one cache is asked for its copy and must not fill. While the
+        origin is overloaded, a random part of the requests avoids it.
         """
         cacheable = not pending.settings.uncacheable
-        pending.spares_origin = cacheable and (
+        pending.avoids_origin = cacheable and (
             self._random.random() * self.loads.origin.slowdown(now) > MAX_ORIGIN_SLOWDOWN
         )
-        cached_only = cacheable and (cached_only or self.loads.zone_link_is_crowded(now, pending))
-        if pending.missed and (cached_only or pending.spares_origin):
+        cached_only = cacheable and (cached_only or self.loads.zone_link_is_congested(now, pending))
+        if pending.missed and (cached_only or pending.avoids_origin):
             pending.rejection_reason = RejectionReason.LINK if cached_only else RejectionReason.ORIGIN
             return False
         for cache_id in self.candidates.caches(now, pending):
             sources = (cache_id,) if cached_only else self.candidates.sources(now, pending, cache_id)
             for source_id in sources:
-                if self._send(now, pending, cache_id, source_id):
+                if self._try_send(now, pending, cache_id, source_id):
                     return True
         return False
 
-    def _send(self, now: float, pending: PendingRequest, cache_id: EndpointId, source_id: EndpointId) -> bool:
-        """The one place that starts attempts; False if a rule forbids this one."""
+    def _try_send(
+        self, now: float, pending: PendingRequest, cache_id: EndpointId, source_id: EndpointId
+    ) -> bool:
+        """Starts an attempt; False if a rule or a slow-start budget forbids it. All attempts start here."""
         request = pending.request
-        cache = self.directory.caches.endpoints.get(cache_id)  # only ready ones, none that drains
+        cache = self.directory.caches.endpoints.get(cache_id)  # ready ones only, none is draining
         if cache is None or not self._may_send(now, pending, cache, source_id):
             return False
         charge = self._charge_slow_start(now, pending, cache, source_id)
@@ -199,14 +204,14 @@
         return True
 
     def _may_send(self, now: float, pending: PendingRequest, cache: Endpoint, source_id: EndpointId) -> bool:
-        """Whether the request is open, has attempts left, may be repeated there, and the source is listed."""
+        """Whether the request is open, may have one more attempt at this cache, and the source is ready."""
         if pending.request.request_number not in self.pending or now >= pending.deadline:
             return False
         if len(pending.attempts) >= self._settings.max_attempts:
             return False
         if pending.pending_attempts() and not self._settings.hedging_allowed:
             return False
-        first = pending.first_run()
+        first = pending.first_possible_run()
         first_endpoint, first_sent = (first.endpoint_id, first.sent_at) if first else (None, None)
         listed = self.directory.endpoints
         if not rules.may_repeat(pending.settings, now, first_endpoint, first_sent, cache, listed):
@@ -220,7 +225,7 @@
     def _charge_slow_start(
         self, now: float, pending: PendingRequest, cache: Endpoint, source_id: EndpointId
     ) -> Charge | None:
-        """Charges the slow-start budgets of cache and source; None if one of them is used up."""
+        """Charges both slow-start budgets; returns the source's charge, None if a budget is used up."""
         directory, loads = self.directory, self.loads
         mean_work = self.mean_work[pending.request.class_index].mean
         if not directory.cache_budget.allows(now, cache, mean_work, *loads.transfers_and_share(cache)):
@@ -238,21 +243,31 @@
     ) -> AttemptRecord:
         cache_id, loads = cache.endpoint_id, self.loads
         fill_expected = source_id != cache_id and not self.copies.has_copy(now, pending.request, cache)
-        cache_load = loads.of(cache_id)
+        cache_load = loads.for_endpoint(cache_id)
         wait = loads.fill_wait if fill_expected else 0.0
         expected = pending.work * cache_load.expected_slowdown(now) + wait
         overdue_at = now + max(
             OVERDUE_OBJECTIVE_SHARE * pending.latency_objective, OVERDUE_EXPECTED_FACTOR * expected
         )
         return AttemptRecord(
-            cache_id, source_id, now, overdue_at, fill_expected, charge, cache_load, loads.of(source_id)
+            cache_id,
+            source_id,
+            now,
+            overdue_at,
+            fill_expected,
+            charge,
+            cache_load,
+            loads.for_endpoint(source_id),
         )
 
     def _max_copy_age(self, pending: PendingRequest, age_limit: float) -> float:
-        """The oldest copy that will do, 0 for any; stale if it is a retry or spares the origin."""
+        """The maximum age of an acceptable copy in milliseconds; 0 means no limit.
+
+        Retries and requests that avoid the origin also accept a copy within its stale lifetime.
+        """
         settings = pending.settings
         lifetime = settings.freshness_lifetime
-        accepts_stale = pending.spares_origin or len(pending.attempts) > 1
+        accepts_stale = pending.avoids_origin or len(pending.attempts) > 1
         if lifetime > 0 and settings.stale_lifetime > 0 and accepts_stale:
             lifetime += settings.stale_lifetime
         if lifetime > 0:
@@ -260,9 +275,12 @@
         return age_limit if age_limit < math.inf else 0.0
 
     def _fill_mode(self, pending: PendingRequest, age_limit: float) -> int:
-        """How the cache is to fill; a fill that may have begun before a purge or failure is not joined."""
+        """The `FillMode` flags of the attempt.
+
+        After a purge or a failed attempt the request is not coalesced with a fill that may have begun before.
+        """
         mode = 0
-        if pending.spares_origin:
+        if pending.avoids_origin:
             mode = int(FillMode.CACHED_ONLY)
         elif pending.settings.freshness_lifetime > 0:
             mode = int(FillMode.BACKGROUND_REFRESH)
@@ -292,16 +310,17 @@
             self._give_up(pending)
 
     def _retry(self, now: float, pending: PendingRequest, outcome: Outcome) -> bool:
-        """Sends the request again if time and the retry budget allow it.
+        """Sends the request again if its deadline and the retry budget allow it.
 
-        A retry is free if no cache saw the attempt, as it adds no work, and after the first reset connection.
+        A retry takes nothing from the budget if the attempt reached no cache, as it adds no load then, or if
+        the first attempt ended with a reset connection.
         """
         if now >= pending.deadline:
             pending.rejection_reason = RejectionReason.TIME
             return False
         pending.rejection_reason = RejectionReason.RETRY_BUDGET
-        free = outcome in NEVER_SEEN_BY_A_CACHE or (outcome is Outcome.RESET and len(pending.attempts) == 1)
-        return (free or self.retry_budget.try_spend()) and self._send_anywhere(now, pending)
+        free = outcome in NEVER_REACHED_A_CACHE or (outcome is Outcome.RESET and len(pending.attempts) == 1)
+        return (free or self.retry_budget.try_spend()) and self._try_candidates(now, pending)
 
     def _on_timer(self, now: float, event: TimerFired) -> None:
         pending = self.pending.get(event.token)
@@ -316,14 +335,14 @@
             self._on_overdue(now, pending, attempt)
 
     def _on_overdue(self, now: float, pending: PendingRequest, attempt: AttemptRecord) -> None:
-        """Records the silence and sends a hedged request.
+        """Records that the attempt got no answer in the expected time, and sends a hedged request.
 
-        Hedged also if the cache is available: if just the answer was lost, no ejection would help, and the
-        cache holds the object by now.
+        A hedged request is sent even if the cache is still available: if only the answer was lost, ejecting
+        the cache would not help, and the cache holds the object by now.
         """
         cache_id, loads = attempt.endpoint_id, self.loads
         answered_since = self.directory.cache_outliers[cache_id].last_success >= attempt.sent_at
-        silent_until = attempt.sent_at + MIN_SILENCE * self._settings.connect_timeout
+        silent_until = attempt.sent_at + MIN_SILENCE_FACTOR * self._settings.connect_timeout
         if not answered_since and now + TIMER_TOLERANCE < silent_until:
             self._actions.append(SetTimer(pending.request.request_number, silent_until))
         else:
@@ -333,11 +352,11 @@
         available = self.directory.is_available(now, cache_id, attempt.source_id)
         if available:
             pending.tried_endpoints.discard(cache_id)
-        slowdown = max(loads.of(cache_id).slowdown(now), loads.zone_link.slowdown(now))
+        slowdown = max(loads.for_endpoint(cache_id).slowdown(now), loads.zone_link.slowdown(now))
         worthwhile = not available or slowdown < MAX_HEDGING_SLOWDOWN
         max_pending = 1 if available else 2
         if pending.pending_attempts() <= max_pending and worthwhile and self.retry_budget.try_spend():
-            self._send_anywhere(now, pending, cached_only=available)
+            self._try_candidates(now, pending, cached_only=available)
 
     def _on_client_disconnected(self, now: float, event: ClientDisconnected) -> None:
         if pending := self.pending.get(event.request_number):
@@ -348,7 +367,7 @@
         self.loads.end_attempt(pending, attempt)
 
     def _close(self, pending: PendingRequest) -> None:
-        """The request has its final answer; the attempts still pending are cancelled."""
+        """Removes a request that has its final answer, and cancels its pending attempts."""
         del self.pending[pending.request.request_number]
         for index, attempt in enumerate(pending.attempts):
             if attempt.pending:
@@ -357,12 +376,12 @@
                     self._actions.append(CancelAttempt(pending.request.request_number, index))
 
     def _give_up(self, pending: PendingRequest) -> None:
-        """The final answer of this router: rejected where a retry is surely harmless, else failed."""
+        """Gives the final answer without a response: `Reject` where a retry can do no harm, else `Fail`."""
         request_number, settings = pending.request.request_number, self._settings
         may_have_run = any(attempt.may_have_run for attempt in pending.attempts)
         if rules.may_reject(pending.settings, may_have_run):
             retry_after = 0.0
-            if settings.retry_after_allowed:  # at random, so that rejected clients don't come back together
+            if settings.retry_after_allowed:  # random, so that rejected clients don't all retry at once
                 retry_after = settings.max_retry_after * self._random.uniform(0.5, 1.0)
             self._actions.append(Reject(request_number, retry_after, pending.rejection_reason.value))
         else:
--- a/edge_router/decision/popularity.py
+++ b/edge_router/decision/popularity.py
@@ -1,8 +1,8 @@
-"""Request counts that age exponentially, and the cache ranks derived from them.
+"""Request counts that decay exponentially, and the cache ranks derived from them.
 
-Source: ours, after admission by popularity in content delivery networks. The most popular objects that
-together receive HIT_SHARE_THRESHOLD of the requests form the top set; only they are admitted to the caches,
-and the density (requests per KB) decides which of them a full cache evicts first.
+The most popular objects that together receive HIT_SHARE_THRESHOLD of the requests form the top set. Only they
+are admitted to the caches, as content delivery networks admit objects by popularity. The density of an object
+(requests per KB) decides which ones a full cache evicts first.
 """
 
 from __future__ import annotations
@@ -10,29 +10,29 @@
 import math
 from dataclasses import dataclass
 
-HIT_SHARE_THRESHOLD = 0.9  # the top set is the most popular objects whose summed share first reaches it
-COUNT_HALF_LIFE = 4.0  # counts halve in this many slow-start times of a cache
-MAX_COUNTED_OBJECTS = 20_000  # beyond it the less popular half is dropped
-MIN_RANKED_REQUESTS = 50  # requests before the ranking is used
-RANKING_INTERVAL = 50  # least requests between two rankings; more once there are many objects
-MAX_WEIGHT_DOUBLINGS = 30  # counts are rescaled before weights grow beyond this power of two
-SIZE_AVERAGE_SAMPLES = 16  # the mean size of an object's segments follows about so many requests
+HIT_SHARE_THRESHOLD = 0.9  # part of all requests that the top set receives
+COUNT_HALF_LIFE_FACTOR = 4.0  # in the slow-start duration, or the settle time of purges if longer
+MAX_COUNTED_OBJECTS = 20_000  # the less popular half is dropped when a new object exceeds it
+MIN_RANKED_REQUESTS = 50  # requests counted before the ranking is used
+RANKING_INTERVAL = 50  # requests between two rankings at least; more with many objects
+MAX_WEIGHT_DOUBLINGS = 30  # all counts are rescaled before the weight exceeds this power of two
+SIZE_AVERAGE_SAMPLES = 16  # requests over which the mean size of an object's segments is taken
 
 
 @dataclass(slots=True)
 class ObjectCount:
-    """The requests for one object."""
+    """The decayed request count of one object."""
 
-    size_kb: float  # mean of its segments
-    count: float = 0.0  # in the growing unit of `Popularity._request_weight`
+    size_kb: float  # mean size of its segments
+    count: float = 0.0  # a sum of the weights that `Popularity._request_weight` returned
     segments: int = 1
 
 
 class Popularity:
-    """Bounded, aged request counts; they give the top set (admission) and the densities (cache ranks)."""
+    """A bounded table of decaying request counts; gives the top set and the cache ranks of objects."""
 
     def __init__(self, half_life: float) -> None:
-        """`half_life` in milliseconds."""
+        """Counts halve every `half_life` milliseconds."""
         self._half_life = max(half_life, 1.0)
         self._counts: dict[int, ObjectCount] = {}
         self._total_count = 0.0
@@ -44,7 +44,7 @@
         self._rank_cutoffs = (math.inf, math.inf)
 
     def _request_weight(self, now: float) -> float:
-        """What a request counts now; new requests weigh more instead of all counts being reduced."""
+        """The weight of a request at `now`; it grows with time, which avoids reducing all counts instead."""
         doublings = (now - self._weight_origin) / self._half_life
         if doublings > MAX_WEIGHT_DOUBLINGS or not self._request_count:
             self._rescale(2.0**-doublings if self._request_count else 1.0)
@@ -59,7 +59,7 @@
         self._top_set_min_count *= factor
 
     def record_request(self, now: float, object_key: int, size_kb: float, segment: int) -> None:
-        """Counts a request for one segment of an object."""
+        """Counts a request for one segment, of `size_kb`, of an object."""
         weight = self._request_weight(now)
         item = self._counts.get(object_key)
         if item is None:
@@ -78,7 +78,7 @@
             self._rank_objects()
 
     def _drop_less_popular_half(self) -> None:
-        """Drops objects but not their part of the total: without it the other shares would be overstated."""
+        """Drops objects but not their requests from the total; else the other shares would be overstated."""
         by_count = sorted(self._counts, key=lambda key: (-self._counts[key].count, key))
         self._counts = {key: self._counts[key] for key in by_count[: MAX_COUNTED_OBJECTS // 2]}
 
@@ -87,7 +87,7 @@
         return item.count / (item.segments * max(item.size_kb, 1.0))
 
     def _rank_objects(self) -> None:
-        """Finds the least count within the top set and the densities between the ranks."""
+        """Computes the lowest count in the top set, and the densities that separate the ranks."""
         items = sorted(self._counts.items(), key=lambda pair: (-pair[1].count, pair[0]))
         summed_count = 0.0
         densities = []
@@ -101,7 +101,7 @@
         self._rank_cutoffs = (densities[len(densities) // 3], densities[2 * len(densities) // 3])
 
     def is_warming_up(self) -> bool:
-        """Whether too few requests were counted for a ranking."""
+        """Whether too few requests have been counted to use the ranking."""
         return self._request_count < MIN_RANKED_REQUESTS
 
     def in_top_set(self, object_key: int) -> bool:
@@ -110,7 +110,7 @@
         return item is not None and item.count >= self._top_set_min_count
 
     def cache_rank(self, object_key: int) -> int:
-        """The rank at which a copy is cached, 1 to 3; 0 passes it through uncached."""
+        """The rank at which a copy is cached, 1 to 3 (evicted last); with 0 the object is not cached."""
         if self.is_warming_up():
             return 1
         if not self.in_top_set(object_key):
@@ -121,7 +121,7 @@
         return 2 if density > self._rank_cutoffs[1] else 1
 
     def byte_share(self, object_key: int) -> float:
-        """The part of all requested bytes that goes to one segment of the object."""
+        """The part of all requested bytes that goes to one segment of the object, on average."""
         item = self._counts.get(object_key)
         if item is None or self._total_kb <= 0:
             return 0.0
--- a/edge_router/model_checker/fingerprint/decision.py
+++ b/edge_router/model_checker/fingerprint/decision.py
@@ -60,7 +60,7 @@
             "_client_bandwidth": FIXED,
             "_shortest_objective": FIXED,
             "_zone_share": FIXED,
-            "_crowded_at": FIXED,
+            "_congestion_threshold": FIXED,
             "_zone_link_transfers": FIXED,
         },
     ),
@@ -78,7 +78,7 @@
         },
     ),
     PendingRequest: Fields(
-        "work deadline latency_objective attempts missed spares_origin tried_endpoints failed_sources",
+        "work deadline latency_objective attempts missed avoids_origin tried_endpoints failed_sources",
         {"request": DERIVED, "settings": DERIVED, "rejection_reason": REPORTED},
     ),
     AttemptRecord: Fields(
@@ -218,7 +218,7 @@
         rounded(pending.latency_objective),
         tuple(_attempt(attempt, frame) for attempt in pending.attempts),
         pending.missed,
-        pending.spares_origin,
+        pending.avoids_origin,
         tuple(sorted(pending.tried_endpoints)),
         tuple(sorted(pending.failed_sources)),
     )
--- a/edge_router/model_checker/reach.py
+++ b/edge_router/model_checker/reach.py
@@ -79,7 +79,7 @@
     ("decision/copy_tracker.py", "has_copy|record", "load of a crowded link; the bench's days play it"),
     (
         "decision/link_loads.py",
-        "is_crowded|zone_link_is_crowded",
+        "is_congested|zone_link_is_congested",
         "load of a crowded link; the bench's days play it",
     ),
     (
@@ -104,7 +104,7 @@
     ),
     (
         "decision/policy.py",
-        "_send|_may_send|_charge_slow_start|_new_attempt|_max_copy_age|_fill_mode",
+        "_try_send|_may_send|_charge_slow_start|_new_attempt|_max_copy_age|_fill_mode",
         "slow-start budgets, no hedged requests, stale lifetimes",
     ),
     ("decision/policy.py", "_on_attempt_ended", "late events, which the proxy never sends"),
