--- a/edge_router/simulator_adapter.py
+++ b/edge_router/simulator_adapter.py
@@ -1,8 +1,10 @@
 """The adapter between the simulator and the routing policy.
 
-It reads batches of events on standard input and writes the actions on standard output; it hosts one policy
-for each router of the simulation and decides nothing. Source: BENCH, the binary frames of the simulator.
-The numbers of frames and their fields are those of that page.
+It reads batches of events from standard input and writes the actions to standard output. It runs one policy
+for each router of the simulation, and makes no decisions itself.
+
+Source: the operators' page `WIRE-robinbeam.md`, section "Frames" and those after it, which define the codes
+of the records and their fields.
 """
 
 from __future__ import annotations
@@ -45,11 +47,11 @@
 _LIST_CODE, _STOP_CODE, _LAUNCH_CODE, _PEER_CODE = 30, 50, 70, 90
 _LOG_CODE, _ERROR_CODE = 50, 100
 _MAX_TEXT_BYTES = 60_000
-_ERROR_LINES = 6  # of a traceback
+_ERROR_LINES = 6  # lines of a traceback that an error record contains
 
 
-class WireError(Exception):
-    """A frame that cannot be read."""
+class MalformedInputError(Exception):
+    """The input is not a sequence of valid batches."""
 
 
 def _floats(body: bytes, at: int, count: int) -> tuple[tuple[float, ...], int]:
@@ -128,7 +130,7 @@
         endpoint_id = address << 16 | port
         endpoints.append(messages.Endpoint(endpoint_id, role, started_at, state, cell, zone, weight))
     if len(endpoints) != count:
-        raise WireError("a list ends early")
+        raise MalformedInputError("an endpoint list is cut short")
     return (
         instance,
         messages.EndpointListUpdate(_UPDATE_KINDS.get(kind, messages.UpdateKind.FAILED), tuple(endpoints)),
@@ -189,7 +191,7 @@
 
 
 class SimulatorAdapter:
-    """The policies of one simulator process, by instance number."""
+    """The policies of the simulated routers, by instance number."""
 
     def __init__(self) -> None:
         self.policies: dict[int, RoutingPolicy] = {}
@@ -198,12 +200,15 @@
         instance, entropy, count = _LAUNCH.unpack_from(body, at)
         at += _LAUNCH.size
         if at + count > len(body):
-            raise WireError("settings end early")
+            raise MalformedInputError("the settings are cut short")
         self.policies[instance] = RoutingPolicy(read_settings(body[at : at + count]), entropy)
         return int(at + count)
 
     def _handle_record(self, now: float, body: bytes, at: int, out: list[bytes]) -> int:
-        """Hands one record to its policy; returns the offset of the next. Raises WireError."""
+        """Processes the record at `at`, adds its actions to `out`, and returns the offset of the next record.
+
+        Raises MalformedInputError if the record cannot be read.
+        """
         code, at = body[at], at + 1
         if code == _LAUNCH_CODE:
             return self._launch(body, at)
@@ -215,17 +220,17 @@
             return int(at + _PEER_MESSAGE.size + count)
         reader = _READERS.get(code)
         if reader is None:
-            raise WireError(f"unknown event code {code}")
+            raise MalformedInputError(f"unknown event code {code}")
         instance, event, end = reader(body, at)
         policy = self.policies.get(instance)
         if policy is not None:
             out.extend(_WRITERS[type(action)](instance, action) for action in policy.handle(now, event))
         return end
 
-    def batch(self, now: float, count: int, body: bytes) -> bytes:
-        """The reply to a batch of `count` records; an error of a policy becomes an error record in it.
+    def handle_batch(self, now: float, count: int, body: bytes) -> bytes:
+        """Returns the reply to a batch of `count` records; an exception of a policy becomes an error record.
 
-        Raises WireError if a record cannot be read.
+        Raises MalformedInputError if a record cannot be read.
         """
         out: list[bytes] = []
         at = 0
@@ -235,17 +240,17 @@
                 at = self._handle_record(now, body, at, out)
             except (struct.error, IndexError) as error:
                 if start >= len(body) or "unpack" in str(error):
-                    raise WireError(f"a record is cut short: {error}") from error
+                    raise MalformedInputError(f"a record is cut short: {error}") from error
                 out.append(self._error_record(body, start))
                 break
-            except WireError:
+            except MalformedInputError:
                 raise
             except Exception:
                 out.append(self._error_record(body, start))
                 break
         else:
             if at != len(body):
-                raise WireError("bytes are left over after the last record")
+                raise MalformedInputError("extra bytes follow the last record of a batch")
         data = b"".join(out)
         return _REPLY_HEADER.pack(len(out), _REPLY_HEADER.size + len(data)) + data
 
@@ -268,24 +273,24 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answers batches until the input ends; raises WireError."""
+    """Answers batches until the input ends; raises MalformedInputError if one cannot be read."""
     adapter = SimulatorAdapter()
     while head := _read_up_to(source, _BATCH_HEADER.size):
         if len(head) < _BATCH_HEADER.size:
-            raise WireError("the input ends within a header")
+            raise MalformedInputError("the input ends within a batch header")
         now, length, count = _BATCH_HEADER.unpack(head)
         body = _read_up_to(source, length - _BATCH_HEADER.size) if length >= _BATCH_HEADER.size else b""
         if len(body) != length - _BATCH_HEADER.size:
-            raise WireError("the input ends within a batch, or its length is wrong")
-        sink.write(adapter.batch(now, count, body))
+            raise MalformedInputError("the input ends within a batch, or the length in its header is wrong")
+        sink.write(adapter.handle_batch(now, count, body))
         sink.flush()
 
 
 def main() -> int:
-    """Entry point; the exit status is 2 if the input is malformed."""
+    """Runs the adapter; returns the exit status, 2 if the input is malformed."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except WireError as error:
+    except MalformedInputError as error:
         print(f"edge-router: malformed input: {error}", file=sys.stderr)
         return 2
     return 0
