--- a/edge_router/model_checker/mutations/proxy.py
+++ b/edge_router/model_checker/mutations/proxy.py
@@ -66,7 +66,7 @@
     Mutation(
         "last-look-gone",
         dispatcher.AttemptDispatcher,
-        "begin",
+        "begin_send",
         "if not self.check_sendable(attempt):",
         "if False:",
         ("drain", "log"),
@@ -224,7 +224,7 @@
     Mutation(
         "no-connection-not-looked-at",
         dispatcher.AttemptDispatcher,
-        "_place",
+        "_enqueue",
         "if connection is None:",
         "if False:",
         ("limits",),
--- a/edge_router/model_checker/reach.py
+++ b/edge_router/model_checker/reach.py
@@ -143,7 +143,7 @@
     ("proxy/request_router.py", "expire_all", "the scope stopped at its full depth"),
     (
         "proxy/dispatcher.py",
-        "_place|on_response|on_connection_lost",
+        "_enqueue|on_response|on_connection_lost",
         "full connections, short arrays: tests/test_router.py",
     ),
     ("proxy/upstream_connections.py", "accepts", "full connections: tests/test_router.py"),
--- a/edge_router/proxy/__init__.py
+++ b/edge_router/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The way of a request: parsing, admission, routing, dispatch, response handling and accounting."""
+"""The stages of a request: parsing, admission, routing, dispatch, response handling and accounting."""
--- a/edge_router/proxy/dispatcher.py
+++ b/edge_router/proxy/dispatcher.py
@@ -1,4 +1,7 @@
-"""Takes attempts to their endpoints, with a last check before the first byte, and ends each of them."""
+"""Sends attempts to their endpoints, with a final check before the first byte, and ends each of them.
+
+Source of the response format: the operators' page `PROTOCOL-robinbeam.md`, "Edge routers to caches".
+"""
 
 from __future__ import annotations
 
@@ -19,11 +22,11 @@
 from edge_router.runtime.event_log import log_rate_limited
 from edge_router.runtime.timers import Timers
 
-RESPONSE_PARTS = 4  # request id, status, fields, body (PROTOCOL page)
+RESPONSE_ITEMS = 4  # of the RESP array: request id, status, fields, body
 
 
 class AttemptDispatcher:
-    """Sends attempts on connections of the pool, and hands their responses and failures on."""
+    """Sends attempts on connections of the pool, and passes on their responses and failures."""
 
     def __init__(
         self,
@@ -44,15 +47,15 @@
         attempt.timeout_timer = self._timers.call_at(
             attempt.instruction.deadline, partial(self.on_attempt_timeout, attempt)
         )
-        self._place(attempt)
+        self._enqueue(attempt)
 
-    def _place(self, attempt: Attempt) -> None:
+    def _enqueue(self, attempt: Attempt) -> None:
         """Queue an attempt on a connection; without one, it ends as not sent."""
         if not self.check_sendable(attempt):
             return
         endpoint_id, request_id = attempt.instruction.endpoint_id, attempt.request.incoming.request_id
         connection = self.pool.acquire(endpoint_id, request_id, self)
-        if connection is None:  # a shortage of our own, which says nothing of the endpoint
+        if connection is None:  # the router's own limit, which is no evidence against the endpoint
             log_rate_limited(
                 "no-upstream-connection",
                 request=request_id,
@@ -63,7 +66,7 @@
             return
         connection.attempts[request_id] = attempt
         self._connection_of[attempt] = connection
-        connection.channel.send(FetchCommand(self.begin, attempt))
+        connection.channel.send(FetchCommand(self.begin_send, attempt))
 
     def _source_ready(self, instruction: StartAttempt) -> bool:
         """Return whether the source of a fill, if it is another endpoint, is listed as ready."""
@@ -74,8 +77,8 @@
     def check_sendable(self, attempt: Attempt) -> bool:
         """Return whether an attempt may still be sent; if not, it ends as not sent.
 
-        Checked again right before its first byte, as endpoints drain, requests end and purges arrive after
-        the decision, also where the settings allow no cancelling.
+        An attempt is checked once more right before its first byte, because endpoints may drain, requests may
+        end and purges may arrive after the decision. This also holds where the settings forbid cancellation.
         """
         if attempt.ended:
             return False
@@ -102,9 +105,9 @@
         self._finish(attempt, Outcome.NOT_SENT)
         return False
 
-    def begin(self, attempt: Attempt) -> bytes | None:
-        """Return the bytes of an attempt that is about to be written; None if it may not be sent any more."""
-        attempt.request.incoming.poll_client()  # the client may have left without our having read it
+    def begin_send(self, attempt: Attempt) -> bytes | None:
+        """Mark an attempt as sent and return its bytes; None if it may not be sent any more."""
+        attempt.request.incoming.poll_client()  # the client's disconnect may not have been read yet
         if not self.check_sendable(attempt):
             return None
         now, instruction = self._clock.now(), attempt.instruction
@@ -114,7 +117,7 @@
         return encode_fetch(attempt, now)
 
     def cancel(self, attempt: Attempt, outcome: Outcome = Outcome.CANCELLED) -> None:
-        """End an attempt; if it was written, abort it by its id."""
+        """End an attempt; if it was sent, also send an `abort` command with its request id."""
         connection = self._connection_of.get(attempt)
         if attempt.sent_at is not None and connection is not None and not connection.channel.closed:
             request_id = attempt.request.incoming.request_id
@@ -125,7 +128,7 @@
         self._finish(attempt, outcome)
 
     def on_attempt_timeout(self, attempt: Attempt) -> None:
-        """End an attempt at its deadline; one that was never written has surely not run."""
+        """End an attempt at its deadline: as CONNECT_FAILED (it did not run) if it was never sent."""
         if connection := self._connection_of.get(attempt):
             now = self._clock.now()
             log_rate_limited(
@@ -151,12 +154,12 @@
             connection.attempts.pop(attempt.request.incoming.request_id, None)
 
     def on_response(self, connection: UpstreamConnection, array: list[bytes]) -> None:
-        """Handle a response on a connection; one under an id that is not open there is dropped.
+        """Handle a response on a connection; drop it if its request id has no open attempt there.
 
-        Raises RespError if it is malformed: then nothing on this connection can be trusted any more.
+        Raises RespError if it is malformed: no further data on this connection can be trusted then.
         """
-        if len(array) != RESPONSE_PARTS:
-            raise resp.RespError(f"an answer of {len(array)} parts")
+        if len(array) != RESPONSE_ITEMS:
+            raise resp.RespError(f"response array has {len(array)} items")
         request_id = array[0].decode("latin-1")
         response = CacheResponse(array[1].decode("latin-1"), resp.parse_fields(array[2]), array[3])
         attempt = connection.attempts.get(request_id)
@@ -171,10 +174,10 @@
         self._response_handler.on_response(attempt, response)
 
     def on_connection_lost(self, connection: UpstreamConnection, reason: str) -> None:
-        """Handle the end of a connection: attempts that were written may have run, the others have not.
+        """Handle the end of a connection: attempts that were sent may have run, the others did not.
 
-        An attempt that was not written goes to another connection, once, if this one had come up: a
-        connection that is reset says little of the endpoint.
+        If the connection had been established, an attempt that was not sent moves to another connection, at
+        most once, because the reset of one connection is weak evidence against the endpoint.
         """
         self.pool.remove(connection)
         if connection.attempts:
@@ -190,7 +193,7 @@
             if connection.channel.connected and attempt.sent_at is None and not attempt.reassigned:
                 attempt.reassigned = True
                 self._detach(attempt)
-                self._place(attempt)
+                self._enqueue(attempt)
             else:
                 unsent = Outcome.NOT_SENT if connection.channel.local_shortage else Outcome.CONNECT_FAILED
                 self._finish(attempt, unsent if attempt.sent_at is None else Outcome.RESET)
--- a/edge_router/proxy/fetch_command.py
+++ b/edge_router/proxy/fetch_command.py
@@ -1,6 +1,7 @@
-"""The commands of an attempt: their words on the wire, and their place in a connection's queue.
+"""The commands of an attempt: their encoding, and their handling in a connection's queue.
 
-The only place that maps the router's fields to the words of `fetch` and `abort` (PROTOCOL page).
+This is the only module that maps the router's fields to the wire names of the commands `fetch` and `abort`.
+Source: the operators' page `PROTOCOL-robinbeam.md`, "Edge routers to caches".
 """
 
 from __future__ import annotations
@@ -46,23 +47,23 @@
 
 @dataclass(slots=True, eq=False)
 class FetchCommand:
-    """An attempt in a connection's queue; it is checked once more right before its first byte."""
+    """A `fetch` command in a connection's queue; its attempt is checked again right before its first byte."""
 
-    begin: Callable[[Attempt], bytes | None]  # the bytes of the attempt; None if it may not be sent any more
+    begin_send: Callable[[Attempt], bytes | None]  # None: the attempt may not be sent
     attempt: Attempt
 
     def encode(self) -> bytes | None:
-        """Return the bytes to write, or None if the attempt may not be sent any more."""
-        return self.begin(self.attempt)
+        """Mark the attempt as sent and return its bytes, or None if it may not be sent any more."""
+        return self.begin_send(self.attempt)
 
     def on_not_written(self) -> None:
-        """Record that not one byte was written, so the attempt has surely not run."""
+        """Record that not a single byte was written, which proves that the attempt did not run."""
         self.attempt.sent_at = None
 
 
 @dataclass(slots=True, eq=False)
 class AbortCommand:
-    """Aborts an attempt that was written, by the id of its request."""
+    """An `abort` command for an attempt that was sent, identified by its request id."""
 
     request_id: str
 
@@ -71,4 +72,4 @@
         return resp.encode(b"abort", self.request_id.encode())
 
     def on_not_written(self) -> None:
-        """Do nothing: the connection has ended, and the attempt with it."""
+        """Do nothing: the connection has ended, and the attempt has ended with it."""
--- a/edge_router/proxy/messages.py
+++ b/edge_router/proxy/messages.py
@@ -1,6 +1,7 @@
-"""Messages between the parts of the proxy: requests, final responses, and the error of an invalid request.
+"""Messages between the parts of the proxy: requests, final responses, and the error for an invalid request.
 
-They do not depend on the protocol by which a request arrived.
+They do not depend on the protocol of the client. The size limit of an object is stated on the operators' page
+`PROTOCOL-robinbeam.md`, "Clients to edge routers".
 """
 
 from __future__ import annotations
@@ -11,9 +12,9 @@
 from enum import Enum
 from http import HTTPStatus
 
-MAX_OBJECT_BYTES = 240_000  # longest object, in bytes; PROTOCOL, "Clients to edge routers"
+MAX_OBJECT_BYTES = 240_000  # length of the longest object
 
-# Entity tags that can be forwarded: a comma or a blank would end the field in the list sent to a cache.
+# Entity tags that can be forwarded: a comma or a space would end the field in the list that a cache receives.
 ETAG_PATTERN = re.compile(r"[0-9A-Za-z._-]{1,64}")
 
 
@@ -37,7 +38,7 @@
 
 
 def no_client_input() -> None:
-    """Reads nothing: the default for requests without a client connection to poll."""
+    """Does nothing; the default of `poll_client` for a request without a client connection."""
 
 
 @dataclass(slots=True, eq=False)
@@ -54,16 +55,16 @@
     purge_group: int
     size_kb: float
     timeout: float  # ms that the client waits, counted from when it sent the request
-    client_etag: str | None  # tag of the copy that the client holds
+    client_etag: str | None  # entity tag of the copy that the client has
     body: bytes
     respond: Callable[[FinalResponse], None]
     time_unread: float = 0.0  # ms for which the request may have waited to be read
-    poll_client: Callable[[], None] = no_client_input  # processes what the client has sent since
+    poll_client: Callable[[], None] = no_client_input  # reads and handles what the client has sent meanwhile
     idempotency_key: str | None = None
 
 
 class BadRequestError(Exception):
-    """A request that is invalid, with the HTTP status to answer it with."""
+    """An invalid request, with the HTTP status of its response."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
--- a/edge_router/proxy/request_router.py
+++ b/edge_router/proxy/request_router.py
@@ -1,4 +1,4 @@
-"""The event loop of the core: hands events to the decisions and carries out the actions they return."""
+"""The event loop of the core: passes events to the routing policy and carries out the actions it returns."""
 
 from __future__ import annotations
 
@@ -43,8 +43,8 @@
 from edge_router.runtime.timers import Timers, no_wakeup
 
 DECISION_BATCH = 8  # requests that are decided before the sockets are read again
-LOG_REPEAT_INTERVAL = 1000.0  # ms within which the same text of the decisions is not logged again
-BACKSTOP_DELAY = 20.0  # ms after a request's deadline at which it is answered even if nobody decided
+LOG_REPEAT_INTERVAL = 1000.0  # ms within which the same text of the policy is not logged again
+BACKSTOP_DELAY = 20.0  # ms after its deadline at which a request is answered even without a decision
 
 
 class RequestRouter:
@@ -61,16 +61,16 @@
         connect: Connect,
         wake: Callable[[], None] = no_wakeup,
     ) -> None:
-        """Wire the parts of the core.
+        """Create and connect the parts of the core.
 
-        `transfer_rate` is that of one transfer, in bytes a second (0: unknown); `connect` opens connections
-        to caches; `wake` is called when a request waits for its decision.
+        `transfer_rate` is the bandwidth of one transfer in bytes per second (0: unknown); `connect` opens
+        connections to caches; `wake` is called when a request waits for its decision.
         """
         self._settings = settings
         self._clock, self._timers = clock, timers
         self._policy = RoutingPolicy(settings, seed)
         self._events: deque[Event] = deque()
-        self._processing = False  # events are being worked off
+        self._processing = False  # whether a caller is handling the queued events
         self.endpoints = EndpointTable()
         self.requests = RequestTable()
         self.admission = AdmissionController(settings, self.requests, budget, transfer_rate, seed)
@@ -97,10 +97,10 @@
             SetTimer: self._set_timer,
             LogMessage: self._log_message,
         }
-        self._logged_at: dict[str, float] = {}  # by text of the decisions
+        self._logged_at: dict[str, float] = {}  # when each text of the policy was last logged
 
     def on_request(self, incoming: IncomingRequest) -> ActiveRequest | None:
-        """Admit a request and queue it for its decision; None if it was rejected, and so answered."""
+        """Admit a request and queue it for its decision; None if it was rejected, which also answers it."""
         now = self._clock.now()
         request = self.admission.admit(now, incoming)
         if request is None:
@@ -118,8 +118,8 @@
     def run_decisions(self) -> bool:
         """Decide a batch of requests; return whether more are waiting.
 
-        Sockets are read between batches, so that a burst of requests does not hold up responses. The time
-        that a request waits here shows whether the router is overloaded.
+        Sockets are read between batches, so that a burst of requests does not delay responses. The time for
+        which a request waits here shows whether the router is overloaded.
         """
         for _ in range(min(DECISION_BATCH, len(self._undecided))):
             received_at, request = self._undecided.popleft()
@@ -156,7 +156,7 @@
             )
 
     def on_client_disconnected(self, request: ActiveRequest) -> None:
-        """Handle that the client of an open request has disconnected; its unsent attempts are ended."""
+        """Handle the disconnect of the client of an open request, and end its unsent attempts."""
         if not request.answered:
             self.response_handler.client_disconnected(request)
             self.post(ClientDisconnected(request.request_number))
@@ -165,7 +165,7 @@
                     self.dispatcher.check_sendable(attempt)
 
     def response_without_decision(self, request: ActiveRequest) -> FinalResponse:
-        """Return the response to a request that ends undecided: rejected if a repeat is surely harmless."""
+        """Return the response to a request without a decision: rejected if a retry is safe, else failed."""
         may_have_run = any(attempt.may_have_run() for attempt in request.attempts)
         if rules.may_reject(self._settings.classes[request.incoming.class_index], may_have_run):
             return FinalResponse(ResponseStatus.REJECTED, retry_after=self.admission.retry_after())
@@ -176,11 +176,11 @@
         self._discovery_updates.apply(event)
 
     def statistics(self) -> dict[str, float]:
-        """Return the figures that the decisions rest on, for operators."""
+        """Return the policy's figures for the statistics in the log."""
         return self._policy.statistics(self._clock.now())
 
     def post(self, event: Event) -> None:
-        """Queue an event for the decisions, and work the queue off unless a caller is doing so already."""
+        """Queue an event for the policy, and handle all queued events unless a caller is already doing so."""
         self._events.append(event)
         if self._processing:
             return
@@ -192,9 +192,9 @@
             self._processing = False
 
     def _handle_event(self, event: Event) -> None:
-        """Carry out the actions that the decisions answer an event with.
+        """Pass an event to the policy and carry out the actions that it returns.
 
-        An error in one decision is logged and fails its request alone; the router goes on.
+        An error in a decision is logged and fails only its own request; the router continues.
         """
         try:
             for action in self._policy.handle(self._clock.now(), event):
@@ -251,7 +251,7 @@
         self._timers.call_at(action.fire_at, partial(self.post, TimerFired(action.token)))
 
     def _log_message(self, action: LogMessage) -> None:
-        """Log a text of the decisions; the same text is logged once in `LOG_REPEAT_INTERVAL` at most."""
+        """Log a text of the policy; the same text is logged at most once in `LOG_REPEAT_INTERVAL`."""
         now = self._clock.now()
         self._logged_at = {
             text: logged_at
@@ -263,7 +263,7 @@
             log("routing", text=action.text)
 
     def _on_backstop(self, request: ActiveRequest) -> None:
-        """Answer a request that nobody has answered by the end of its time, and end its attempts."""
+        """Answer a request that is still unanswered after its deadline, and end its attempts."""
         if not request.answered:
             if request.attempts:
                 log("backstop-timeout", request=request.incoming.request_id)
@@ -272,7 +272,7 @@
                 log_rate_limited(
                     "request-rejected",
                     request=request.incoming.request_id,
-                    reason="its time was over before its decision",
+                    reason="its deadline passed before its decision",
                 )
             self.response_handler.respond(request, self.response_without_decision(request))
             self.post(ClientDisconnected(request.request_number))
@@ -281,7 +281,7 @@
                 self.dispatcher.cancel(attempt)
 
     def expire_all(self) -> None:
-        """End all open requests and their attempts, as the router is about to stop."""
+        """End all open requests and their attempts, because the router is about to stop."""
         for request in self.requests:
             request.expired = True
             for attempt in list(request.attempts):
--- a/edge_router/proxy/request_table.py
+++ b/edge_router/proxy/request_table.py
@@ -10,12 +10,12 @@
 from edge_router.proxy.messages import IncomingRequest
 from edge_router.runtime.timers import TimerHandle
 
-MAX_REQUEST_NUMBER = 0xFFFFFFFF  # numbers start again at 1 after it
+MAX_REQUEST_NUMBER = 0xFFFFFFFF  # the number after it is 1 again
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt, from its instruction to its one end. Times are ms of the router's clock."""
+    """One attempt, from the instruction to start it until it ends. Times are ms of the router's clock."""
 
     request: ActiveRequest
     index: int
@@ -30,7 +30,7 @@
 
     @property
     def started_at(self) -> float:
-        """When it was sent, or else created."""
+        """Return when it was sent or, if it was not sent, when it was created."""
         return self.created_at if self.sent_at is None else self.sent_at
 
     def may_have_run(self) -> bool:
@@ -40,15 +40,15 @@
 
 @dataclass(slots=True, eq=False)
 class ActiveRequest:
-    """An admitted request, until it is answered and its last attempt has ended."""
+    """An admitted request, kept until it is answered and its last attempt has ended."""
 
     request_number: int
     incoming: IncomingRequest
     deadline: float
-    reserved_bytes: int = 0  # of the memory budget, for it and its response
+    reserved_bytes: int = 0  # reserved in the memory budget for the request and its response
     answered: bool = False
     backstop_timer: TimerHandle | None = None
-    expired: bool = False  # no further attempt is sent for it
+    expired: bool = False  # the router is stopping: no further attempt is sent
     attempts: list[Attempt] = field(default_factory=list)
 
 
@@ -84,9 +84,9 @@
         return self._by_number.get(request_number)
 
     def remove(self, request_number: int) -> bool:
-        """Remove a request that is over; return whether it was in the table.
+        """Remove a finished request; return whether it was in the table.
 
-        Its attempts refer back to it: the list is cleared to break the cycle, so that the memory of the
+        Its attempts refer back to it. Their list is cleared to break this cycle, so that the memory of the
         request and of its client connection is freed at once.
         """
         request = self._by_number.pop(request_number, None)
@@ -98,7 +98,7 @@
         return True
 
     def unsent_attempts(self) -> list[Attempt]:
-        """Return the open attempts of which nothing has been written yet."""
+        """Return the open attempts that have not been sent yet."""
         return [
             attempt
             for request in self._by_number.values()
