--- a/edge_router/proxy/accounting.py
+++ b/edge_router/proxy/accounting.py
@@ -19,7 +19,7 @@
 
 
 class RequestAccounting:
-    """Reports the end of each attempt to the decision module exactly once, and keeps the counters."""
+    """Reports the end of each attempt to the routing policy exactly once, and keeps the counters."""
 
     def __init__(
         self,
@@ -101,7 +101,7 @@
         self._max_queue_time = max(self._max_queue_time, queue_time)
 
     def log_statistics(self, **other_figures: object) -> None:
-        """Logs the counters together with other figures, and resets the counters."""
+        """Logs the counters and the maximum queue time with other figures, and resets both."""
         log("stats", **other_figures, max_queue_ms=self._max_queue_time, **dict(sorted(self.counts.items())))
         self.counts.clear()
         self._max_queue_time = 0.0
--- a/edge_router/proxy/admission.py
+++ b/edge_router/proxy/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: bounds the requests and bytes in flight and sheds load above the CPU share."""
+"""Admission control: limits the requests and bytes in flight, and sheds load above the CPU share."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from edge_router.runtime.cpu_credit import CpuCredit
 from edge_router.runtime.memory_budget import MemoryBudget
 
-RESPONSE_MARGIN = 15.0  # ms before the client's timeout at which the response is due, so that it arrives
-MIN_TIME_REMAINING = 1.0  # ms given to each admitted request
+RESPONSE_MARGIN = 15.0  # ms before the client's timeout, so that the response arrives in time
+MIN_TIME_REMAINING = 1.0  # ms that each admitted request has at least until its deadline
 MAX_OPEN_REQUESTS = 4096
-MAX_TIME_IN_MEMORY = 60_000.0  # ms; a client may wait for longer, but its request is not kept for longer
-QUEUE_TIME_RATIO = 0.4  # queue time allowed at the mean priority weight, as a part of the latency objective
-MIN_QUEUE_TIME = 20.0  # ms that each request may wait; below it nothing is shed for CPU either
-CPU_DEBT_AT_MEAN_PRIORITY = 0.02  # seconds of overdrawn CPU at which the mean priority weight is shed
+MAX_TIME_IN_MEMORY = 60_000.0  # ms; a request is not kept for longer, even if its client waits for longer
+QUEUE_TIME_RATIO = 0.4  # maximum queue time at the mean priority weight, relative to the latency objective
+MIN_QUEUE_TIME = 20.0  # ms that each request may wait; up to it no request is shed for CPU either
+CPU_DEBT_PER_PRIORITY = 0.02  # seconds of CPU debt tolerated per unit of relative priority above the lowest
 MAX_RELATIVE_PRIORITY = 2.0
 DEFAULT_BYTES_PER_KB = 1000.0
 
@@ -41,7 +41,7 @@
         transfer_rate: float,
         seed: int,
     ) -> None:
-        """`transfer_rate` is that of one response in bytes per second; 0 if it is not known."""
+        """`transfer_rate` is the bandwidth of one response in bytes per second; 0 if it is not known."""
         self.cpu_credit = CpuCredit()
         self._random = random.Random(seed)
         self._max_retry_after = settings.max_retry_after if settings.retry_after_allowed else 0.0
@@ -62,10 +62,10 @@
             if settings.client_bandwidth > 0 and transfer_rate > 0
             else DEFAULT_BYTES_PER_KB
         )
-        self.latest_deadline = math.inf  # Unix ms by which every request is answered, set by a shutdown
+        self.latest_deadline = math.inf  # ms of the router's clock; set at shutdown, limits all deadlines
 
     def admit(self, now: float, incoming: IncomingRequest) -> ActiveRequest | None:
-        """Opens a request; None if its time is over or there is no capacity for it and its response."""
+        """Admits a request; None if its timeout has passed or it and its response exceed the capacity."""
         if incoming.time_unread >= incoming.timeout:
             return None
         response_bytes = min(MAX_OBJECT_BYTES, round(incoming.size_kb * self._bytes_per_kb))
@@ -78,11 +78,11 @@
         return self._requests.add(incoming, deadline, reserved_bytes)
 
     def shed_reason(self, now: float, received_at: float, class_index: int) -> ShedReason | None:
-        """Why a request received at `received_at` must be shed; None if it is to be forwarded.
+        """Returns why a request received at `received_at` must be shed; None if it is to be forwarded.
 
-        Load is shed early and by priority weight, or all requests would become late together. Requests that
-        have hardly waited are never shed: a rejection costs a good part of a request, and the client
-        returns at once.
+        Load is shed early and by priority weight, because otherwise all requests would become late
+        together. A request that has waited for at most `MIN_QUEUE_TIME` is never shed: a rejection costs a
+        large part of what a request costs, and the client retries at once.
         """
         queue_time = now - received_at
         if queue_time > self._max_queue_time[class_index]:
@@ -90,14 +90,14 @@
         if queue_time <= MIN_QUEUE_TIME:
             return None
         credit = self.cpu_credit.remaining()
-        tolerated_debt = CPU_DEBT_AT_MEAN_PRIORITY * (self._priority[class_index] - min(self._priority))
+        tolerated_debt = CPU_DEBT_PER_PRIORITY * (self._priority[class_index] - min(self._priority))
         return ShedReason.CPU if credit < 0 and credit <= -tolerated_debt else None
 
     def retry_after(self) -> float:
-        """For how long (ms) a rejected client should wait; random, so that clients do not return together."""
+        """Returns for how long (ms) a rejected client should wait; random, to spread out retries."""
         return self._max_retry_after * self._random.uniform(0.5, 1.0)
 
     def release(self, request: ActiveRequest) -> None:
-        """Closes a request and returns its memory; a second call does nothing."""
+        """Removes a finished request and releases its reserved memory; a second call does nothing."""
         if self._requests.remove(request.request_number):
             self._budget.release(request.reserved_bytes)
--- a/edge_router/proxy/cache_response.py
+++ b/edge_router/proxy/cache_response.py
@@ -1,4 +1,7 @@
-"""A cache's response and the words of its fields; PROTOCOL, "Edge routers to caches"."""
+"""A cache's response, its status codes and its fields.
+
+Source: the operators' page `PROTOCOL-robinbeam.md`, "Edge routers to caches".
+"""
 
 from __future__ import annotations
 
@@ -41,7 +44,7 @@
 
 
 def parse_number(text: str) -> float | None:
-    """The value of a number as caches write it; None if the text is no such number."""
+    """Returns the value of a number in the format of the caches; None if the text is not such a number."""
     return float(text) if _NUMBER.fullmatch(text) else None
 
 
@@ -53,23 +56,23 @@
     body: bytes
 
     def etag(self) -> str | None:
-        """Entity tag of the copy; None if there is none."""
+        """Returns the entity tag of the copy; None if there is none."""
         return self.fields.get(ETAG) or None
 
     def creation_time(self) -> float | None:
-        """Unix time (ms) at which the origin issued the copy; None if missing or invalid."""
+        """Returns the Unix time (ms) at which the origin issued the copy; None if missing or invalid."""
         return parse_number(self.fields.get(CREATION_TIME, ""))
 
     def fill_result(self) -> FillResult:
-        """How the copy was obtained; NONE if missing or unknown."""
+        """Returns how the copy was obtained; NONE if missing or unknown."""
         return FILL_RESULT_BY_WORD.get(self.fields.get(FILL_RESULT, ""), FillResult.NONE)
 
     def fill_wait(self) -> float:
-        """Time (ms) for which the cache waited for the source; 0 if missing or invalid."""
+        """Returns the time (ms) for which the cache waited for the source; 0 if missing or invalid."""
         return parse_number(self.fields.get(FILL_WAIT, "")) or 0.0
 
     def load_report(self, names: Sequence[str]) -> tuple[float, ...]:
-        """The figures of the load report in the order of `names`; empty unless all are present and valid.
+        """Returns the load report's figures in the order of `names`; empty unless all are present and valid.
 
         A partial report is dropped, because a missing figure would make the cache look idle.
         """
--- a/edge_router/proxy/connection_pool.py
+++ b/edge_router/proxy/connection_pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to cache endpoints: chooses, opens, evicts and sweeps them, within their limit."""
+"""The pool of connections to cache endpoints: selects, opens, evicts and closes them, within a limit."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 from edge_router.runtime.timers import Timers
 from edge_router.transport.upstream_channel import ChannelOwner, UpstreamChannel
 
-# A connection that is idle for this part of the allowed time is closed before the endpoint closes it, as a
-# request written into a closing connection would be lost.
+# Fraction of the endpoints' idle timeout after which an idle connection is closed. It is closed before the
+# endpoint closes it, because a request that is written to a closing connection would be lost.
 IDLE_FRACTION = 0.6
-SILENT_CONNECT_TIMEOUTS = 3.0  # connect timeouts without a byte, though some are owed, that make it suspect
-MIN_CONNECT_TIMEOUT = 100.0  # ms; the least connect timeout that the silence is measured by
-MAX_CONNECTIONS_PER_ENDPOINT = 16  # several, as a broken one takes all the attempts that are on it along
+MAX_SILENCE_FACTOR = 3.0  # connect timeouts for which a connection that owes responses may send no byte
+MIN_CONNECT_TIMEOUT = 100.0  # ms; lower bound of the connect timeout in this calculation
+MAX_CONNECTIONS_PER_ENDPOINT = 16  # several, because a broken connection ends all attempts on it
 SWEEP_INTERVAL = 200.0  # ms
-MAX_PARTIAL_TIME = 400.0  # ms without a byte in the middle of a response, after which it is closed
-SOCKETS_PER_CONNECTION = 3  # of the limit on descriptors
+MAX_PARTIAL_TIME = 400.0  # ms without a byte within a response, after which the connection is closed
+SOCKETS_PER_CONNECTION = 3  # descriptors of the limit, per allowed upstream connection
 MIN_CONNECTION_LIMIT = 4
 
-# Opens a channel for its owner, to that address, within so many seconds.
+# Opens a channel for an owner to an address; the last argument is the connect timeout in seconds.
 Connect = Callable[[ChannelOwner, tuple[str, int], float], UpstreamChannel]
 
 
 def connection_limit(max_sockets: int) -> int:
-    """Return how many upstream connections a limit on descriptors leaves capacity for."""
+    """Return how many upstream connections may be open under a limit on descriptors."""
     return max(MIN_CONNECTION_LIMIT, math.floor(max_sockets / SOCKETS_PER_CONNECTION))
 
 
@@ -57,15 +57,16 @@
         return sum(map(len, self._connections.values()))
 
     def max_silence(self) -> float:
-        """Return for how many ms a connection that owes responses may be silent."""
-        return SILENT_CONNECT_TIMEOUTS * max(self._settings.connect_timeout, MIN_CONNECT_TIMEOUT)
+        """Return for how long (ms) a connection that owes responses may send no byte."""
+        return MAX_SILENCE_FACTOR * max(self._settings.connect_timeout, MIN_CONNECT_TIMEOUT)
 
     def acquire(
         self, endpoint_id: EndpointId, request_id: str, owner: ConnectionOwner
     ) -> UpstreamConnection | None:
-        """Return an idle connection, else a new one, else the least loaded that accepts; None without any.
+        """Return an idle connection, else a new one, else the least loaded one that accepts the attempt.
 
-        Attempts share a connection last of all, as one malformed response ends all that are on it.
+        Returns None if there is none. Attempts share a connection only as the last choice, because a single
+        malformed response ends all attempts on its connection.
         """
         now, max_silence = self._clock.now(), self.max_silence()
         address, connections = self._endpoints.address(endpoint_id), self._connections.get(endpoint_id, [])
@@ -89,7 +90,7 @@
         return None
 
     def _may_open(self, open_to_endpoint: int) -> bool:
-        """Return whether an endpoint may have one more connection, after an eviction if need be."""
+        """Return whether an endpoint may have one more connection; if necessary, an idle one is evicted."""
         fair_share = max(2, self.max_connections // max(1, len(self._connections)))
         return open_to_endpoint < min(MAX_CONNECTIONS_PER_ENDPOINT, fair_share) and (
             self.connection_count() < self.max_connections or self._evict_idle()
@@ -119,31 +120,31 @@
         return bool(idle)
 
     def remove(self, connection: UpstreamConnection) -> None:
-        """Forget a connection that has ended, or that never came up."""
+        """Remove a connection that has ended or could not be established."""
         connections = self._connections.get(connection.endpoint_id, [])
         if connection in connections:
             connections.remove(connection)
         if not connections:
             self._connections.pop(connection.endpoint_id, None)
 
-    def close_opened_before(self, endpoint_id: EndpointId, moment: float) -> None:
-        """Close the connections to the process that an endpoint ran before it was started at `moment`.
+    def close_opened_before(self, endpoint_id: EndpointId, started_at: float) -> None:
+        """Close connections to an endpoint that were opened before its process started, at `started_at`.
 
-        Those opened since lead to the new process; the attempts on them go on.
+        Connections opened later lead to the new process; the attempts on them continue.
         """
         for connection in list(self._connections.get(endpoint_id, [])):
-            if connection.opened_at < moment:
+            if connection.opened_at < started_at:
                 connection.channel.close()
 
     def close_removed_endpoints(self) -> None:
-        """Close the connections to endpoints that are not listed any more; they answer nothing."""
+        """Close the connections to endpoints that are no longer listed, because these answer nothing."""
         removed = [key for key in self._connections if not self._endpoints.contains(key)]
         for endpoint_id in removed:
             for connection in list(self._connections[endpoint_id]):
                 connection.channel.close()
 
     def _sweep(self) -> None:
-        """Close connections that are idle, suspect without attempts, or stuck in the middle of a response."""
+        """Close unused connections that are idle or suspect, and those stuck in the middle of a response."""
         now = self._clock.now()
         self._timers.call_at(now + SWEEP_INTERVAL, self._sweep)
         max_idle = IDLE_FRACTION * self._settings.connection_idle_timeout
--- a/edge_router/proxy/discovery_updates.py
+++ b/edge_router/proxy/discovery_updates.py
@@ -1,4 +1,4 @@
-"""Applies what discovery learns (endpoints and purges), and then checks the unsent attempts again."""
+"""Applies the events of discovery (endpoints and purges), then checks the unsent attempts again."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class DiscoveryUpdates:
-    """Applies the events of discovery to the tables, the connections and the decisions."""
+    """Applies the events of discovery to the tables, the connections and the routing policy."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
     def apply(self, event: DiscoveryEvent) -> None:
         """Apply a change of the endpoints or a purge.
 
-        The attempts that wait to be written are checked again after the decisions have seen the event.
+        The unsent attempts are checked again after the routing policy has handled the event.
         """
         unsent = self._requests.unsent_attempts()
         if isinstance(event, ObjectPurged):
@@ -82,10 +82,10 @@
         self._dispatcher.pool.close_removed_endpoints()
 
     def _with_local_start(self, endpoint: Endpoint) -> Endpoint:
-        """Return the endpoint with its start time (ms) by the router's clock instead of its own.
+        """Return the endpoint with its start time (ms) converted from its clock to the router's clock.
 
-        Translated once for each start, so that it stays the same while the clocks' offset is refined; not
-        later than now.
+        Each start is converted only once, so that the result stays the same while the estimate of the clock
+        offset changes. The result is never in the future.
         """
         if endpoint.started_at <= 0:
             return endpoint
--- a/edge_router/proxy/response_handler.py
+++ b/edge_router/proxy/response_handler.py
@@ -1,4 +1,4 @@
-"""Turns cache responses into the one final response of each request."""
+"""Turns cache responses into the single final response of each request."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
         self.validator = ResponseValidator(settings, peer_clock, purges)
 
     def respond(self, request: ActiveRequest, response: FinalResponse) -> None:
-        """Sends the final response to the client; any further one is dropped."""
+        """Sends the final response to the client; drops it if the request is already answered."""
         if request.answered:
             return
         self._accounting.invariants.check_response(request, response.status, self._clock.now())
@@ -43,13 +43,13 @@
         self._accounting.close_if_finished(request)
 
     def client_disconnected(self, request: ActiveRequest) -> None:
-        """Records that the client has gone and needs no response."""
+        """Records that the client has disconnected and needs no response."""
         request.answered = True
         self._accounting.counts["client_disconnected"] += 1
         self._accounting.close_if_finished(request)
 
     def on_response(self, attempt: Attempt, response: CacheResponse) -> None:
-        """Handles the well-formed response of a cache to an attempt in flight."""
+        """Handles a well-formed cache response to an attempt in flight."""
         outcome = OUTCOME_BY_STATUS[response.status]
         fill_result = response.fill_result()
         if outcome is Outcome.OK:
--- a/edge_router/proxy/response_validation.py
+++ b/edge_router/proxy/response_validation.py
@@ -19,21 +19,21 @@
 
 
 class MalformedResponseError(RespError):
-    """A response that no cache sends: its connection can no longer be trusted."""
+    """A response that no correct cache sends; no further data on its connection can be trusted."""
 
 
 class DefectKind(StrEnum):
     """Why the copy in a well-formed response must not be served."""
 
-    NOT_CLIENT_COPY = "unchanged, but not the client's copy"
-    NOT_MODIFIED_WITH_BODY = "unchanged, but with bytes"
+    ETAG_MISMATCH = "not modified, but its entity tag is not that of the client's copy"
+    NOT_MODIFIED_WITH_BODY = "not modified, but it has a body"
     PURGED = "older than a purge"
-    TOO_OLD = "older than asked for"
+    TOO_OLD = "older than requested"
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseDefect:
-    """A reason not to serve a copy; for TOO_OLD with both ages in ms."""
+    """Why a copy must not be served; for TOO_OLD with its age and the requested maximum, both in ms."""
 
     kind: DefectKind
     age: float | None = None
@@ -41,7 +41,7 @@
 
     def __str__(self) -> str:
         if self.kind is DefectKind.TOO_OLD:
-            return f"{self.age:.0f} ms old, asked for {self.max_age:.0f}"
+            return f"{self.age:.0f} ms old, requested maximum {self.max_age:.0f} ms"
         return self.kind.value
 
 
@@ -54,29 +54,29 @@
         self._purges = purges
 
     def check_well_formed(self, attempt: Attempt, response: CacheResponse) -> None:
-        """Raises MalformedResponseError for a response that no cache sends.
+        """Raises MalformedResponseError for a response that no correct cache sends.
 
-        Its status then proves nothing, least of all that the attempt did not run.
+        The status of such a response proves nothing; in particular, the attempt may have run.
         """
         if response.status not in OUTCOME_BY_STATUS:
-            raise MalformedResponseError(f"an answer of the word {response.status[:MAX_LOGGED_STATUS]!r}")
+            raise MalformedResponseError(f"unknown response status {response.status[:MAX_LOGGED_STATUS]!r}")
         if OUTCOME_BY_STATUS[response.status] is not Outcome.OK:
             if response.body:
-                raise MalformedResponseError("an error with bytes")
+                raise MalformedResponseError("error response with a body")
             return
         if len(response.body) > MAX_OBJECT_BYTES:
-            raise MalformedResponseError(f"an answer of {len(response.body)} bytes")
+            raise MalformedResponseError(f"response body has {len(response.body)} bytes")
         if self._class_settings(attempt).uncacheable:
             return
         if not ETAG_PATTERN.fullmatch(response.etag() or "") or not response.creation_time():
-            raise MalformedResponseError("a copy without a tag or an age")
+            raise MalformedResponseError("response lacks a valid entity tag or creation time")
 
     def find_defect(self, attempt: Attempt, response: CacheResponse) -> ResponseDefect | None:
-        """Why the copy in a well-formed, successful response must not be served; None if it may be."""
+        """Returns why the copy in a well-formed, successful response may not be served; None if it may."""
         incoming = attempt.request.incoming
         if response.status == NOT_MODIFIED:
             if incoming.client_etag is None or response.etag() != incoming.client_etag:
-                return ResponseDefect(DefectKind.NOT_CLIENT_COPY)
+                return ResponseDefect(DefectKind.ETAG_MISMATCH)
             if response.body:
                 return ResponseDefect(DefectKind.NOT_MODIFIED_WITH_BODY)
         class_settings = self._class_settings(attempt)
@@ -99,5 +99,5 @@
 
     @staticmethod
     def _max_age(class_settings: ClassSettings, attempt: Attempt) -> float | None:
-        """The greatest age (ms) that the attempt asked for; None if any will do."""
+        """Returns the maximum age (ms) of a copy for the attempt; None if there is no maximum."""
         return attempt.instruction.max_age or class_settings.freshness_lifetime or None
--- a/edge_router/proxy/upstream_connections.py
+++ b/edge_router/proxy/upstream_connections.py
@@ -1,4 +1,4 @@
-"""A connection to a cache endpoint, the attempts that are open on it and those that it has carried."""
+"""A connection to a cache endpoint, with its open attempts and the ids of earlier ones."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from edge_router.proxy.request_table import Attempt
 from edge_router.transport.upstream_channel import UpstreamChannel
 
-REMEMBERED_IDS = 256  # ids of abandoned and of answered attempts that a connection remembers, each
+REMEMBERED_IDS = 256  # of abandoned and of answered attempts each, per connection
 
 
 class ConnectionOwner(Protocol):
-    """Handles what happens on the connections that it uses."""
+    """Handles the responses and the end of the connections that it uses."""
 
     def on_response(self, connection: UpstreamConnection, array: list[bytes]) -> None:
         """Handle a response; raises RespError if it is malformed, which ends the connection."""
 
     def on_connection_lost(self, connection: UpstreamConnection, reason: str) -> None:
-        """Handle the end of a connection, or that it never came up. Called once."""
+        """Handle the end of a connection, or that it could not be established. Called once."""
 
 
 class UpstreamConnection:
@@ -45,15 +45,16 @@
         self._owner.on_response(self, array)
 
     def on_channel_closed(self, connection: UpstreamChannel, reason: str) -> None:
-        """Tell the owner that the connection has ended."""
+        """Notify the owner that the connection has ended."""
         self._owner.on_connection_lost(self, reason)
 
     def accepts(self, request_id: str, now: float, max_streams: int, max_silence: float) -> bool:
-        """Return whether one more attempt may go on this connection.
+        """Return whether one more attempt may be sent on this connection.
 
-        An id goes on a connection once: a late or second response to its first attempt would be taken for
-        that to the next, which may run although the response was `full`. A connection that owes responses
-        and has been silent for `max_silence` ms takes no more, as its machine may have vanished.
+        A request id is used only once on a connection. Otherwise a late or second response to the first
+        attempt would be taken for the response to the next one, and a refusal would wrongly prove that the
+        next attempt did not run. A connection that owes responses and has sent no byte for `max_silence` ms
+        accepts no attempt, because its machine may have failed.
         """
         if (
             self.channel.closed
