--- a/edge_router/config/__init__.py
+++ b/edge_router/config/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's configuration file, the settings it holds, and reloading it."""
+"""Reads the platform's configuration file and the settings in it, and reloads the file."""
--- a/edge_router/config/reload.py
+++ b/edge_router/config/reload.py
@@ -1,4 +1,4 @@
-"""Reloads the configuration on request; a file that can't be read at the moment is retried."""
+"""Reloads the configuration on request; retries a file that cannot be read at the moment."""
 
 from __future__ import annotations
 
@@ -14,43 +14,43 @@
 RETRY_PERIOD = 30.0  # seconds for which an unreadable file is retried
 
 
-class ForeignConfigError(ConfigError):
-    """A configuration that is not this router's: its change log would report caches of another one."""
+class IdentityMismatchError(ConfigError):
+    """A configuration of another router, whose change log would report the caches of that router."""
 
-    def __init__(self, parts: tuple[str, ...]) -> None:
-        """`parts`: the names of those parts of `RouterConfig.identity` that differ."""
-        super().__init__(f"the file is another router's, by its {', '.join(parts)}")
-        self.parts = parts
+    def __init__(self, fields: tuple[str, ...]) -> None:
+        """`fields`: the names of the values of `RouterConfig.identity` that differ."""
+        super().__init__(f"the file is for another router: different {', '.join(fields)}")
+        self.fields = fields
 
 
 def check_same_router(current: RouterConfig, new: RouterConfig) -> None:
-    """Raises ForeignConfigError if the new configuration is another router's."""
+    """Raises IdentityMismatchError if the new configuration is that of another router."""
     expected, identity = current.identity(), new.identity()
-    if parts := tuple(part for part in expected if expected[part] != identity[part]):
-        raise ForeignConfigError(parts)
+    if fields := tuple(field for field in expected if expected[field] != identity[field]):
+        raise IdentityMismatchError(fields)
 
 
 class Reloader:
-    """Waits for requests to reload and passes each usable configuration on."""
+    """Waits for requests to reload, and applies each valid configuration."""
 
     def __init__(self, apply: Callable[[RouterConfig], None]) -> None:
-        """`apply` takes a configuration over, or raises ConfigError and changes nothing."""
+        """`apply` applies a configuration, or raises ConfigError and changes nothing."""
         self._apply = apply
         self._requested = trio.Event()
 
     def request(self) -> None:
-        """Requests a reload; one that is under way starts again from the beginning."""
+        """Requests a reload; one that is in progress starts again."""
         self._requested.set()
 
     async def run(self) -> None:
-        """Serves requests forever."""
+        """Handles requests to reload forever."""
         while True:
             await self._requested.wait()
             self._requested = trio.Event()
             await self._reload()
 
     async def _reload(self) -> None:
-        """Reads the file until it is applied or rejected, or until a newer request has come."""
+        """Reads the file until it is applied or rejected, a new request arrives or `RETRY_PERIOD` ends."""
         last_reason: str | None = None
         backoff, end = INITIAL_BACKOFF, trio.current_time() + RETRY_PERIOD
         while not self._requested.is_set():
@@ -62,8 +62,8 @@
             except ConfigError as error:
                 log("configuration-rejected", reason=str(error))
                 return
-            if reason != last_reason:  # the same error of a further attempt is not logged again
-                log("configuration-rejected", reason=reason, next="tried again")
+            if reason != last_reason:  # a repeated error is logged only once
+                log("configuration-rejected", reason=reason, next="will be retried")
                 last_reason = reason
             if trio.current_time() >= end:
                 log("configuration-reload-abandoned", reason=reason)
--- a/edge_router/config/settings_reader.py
+++ b/edge_router/config/settings_reader.py
@@ -1,6 +1,7 @@
-"""Reads the settings from JSON, for the edge router and the simulator adapter alike.
+"""Reads the settings from JSON, for both the edge router and the simulator adapter.
 
-Source: WIRE and BENCH, whose keys are mapped to the fields of `decision/settings.py` here and nowhere else.
+Sources: the operators' pages `WIRE-robinbeam.md`, "Settings", and `BENCH-robinbeam.md`. This is the only
+module that maps their keys to the fields of `decision/settings.py`.
 """
 
 from __future__ import annotations
@@ -24,13 +25,13 @@
 
 
 def _required(table: dict[str, Any], key: str, path: str = "") -> Any:
-    """A setting without which nothing can be decided; raises ValueError if it is missing."""
+    """Returns a setting that every decision requires; raises ValueError if it is missing."""
     if key not in table:
-        raise ValueError(f"settings lack '{path}{key}'")
+        raise ValueError(f"the settings lack '{path}{key}'")
     return table[key]
 
 
-def _item(values: list[Any], index: int, default: Any) -> Any:
+def _item_or_default(values: list[Any], index: int, default: Any) -> Any:
     return values[index] if index < len(values) else default
 
 
@@ -44,24 +45,27 @@
         latency_objective=float(entry.get("on_time", deadline)),
         latency_objective_per_work=float(entry.get("aim_stretch", 0.0)),
         deadline=deadline,
-        # Unknown words count as the strictest, so that no request is repeated that must not be.
+        # An unknown value counts as the strictest one, so that no request is retried that must not be.
         idempotency=_IDEMPOTENCY_BY_EFFECT.get(entry.get("effect", ""), Idempotency.NONE),
         deduplication_scope=_SCOPE_BY_GROUP.get(entry.get("group", ""), DeduplicationScope.CELL),
         deduplication_window=float(entry.get("window", 0.0)),
-        freshness_lifetime=float(_item(domain.get("lifetime_by_class", []), index, 0.0)),
-        stale_lifetime=float(_item(domain.get("stale_for", []), index, 0.0)),
-        stale_priority_weight=float(_item(domain.get("worth_when_old", []), index, 0.0)),
-        uncacheable=bool(_item(domain.get("never_kept", []), index, False)),
+        freshness_lifetime=float(_item_or_default(domain.get("lifetime_by_class", []), index, 0.0)),
+        stale_lifetime=float(_item_or_default(domain.get("stale_for", []), index, 0.0)),
+        stale_priority_weight=float(_item_or_default(domain.get("worth_when_old", []), index, 0.0)),
+        uncacheable=bool(_item_or_default(domain.get("never_kept", []), index, False)),
     )
 
 
 def read_settings(text: str | bytes) -> Settings:
-    """Typed settings from JSON text; raises ValueError if a required one is missing."""
+    """Returns the settings in a JSON text; raises ValueError if a required one is missing."""
     return settings_from_json(ujson.loads(text))
 
 
 def settings_from_json(table: dict[str, Any]) -> Settings:
-    """Typed settings from decoded JSON; unknown keys are skipped, a missing one raises ValueError."""
+    """Returns the settings in decoded JSON; ignores unknown keys.
+
+    Raises ValueError if a required key is missing.
+    """
     domain, rules, limits = (table.get(part, {}) for part in ("domain", "rules", "limits"))
     return Settings(
         classes=tuple(
--- a/edge_router/model_checker/model/clients.py
+++ b/edge_router/model_checker/model/clients.py
@@ -147,7 +147,7 @@
 
     def abort(self, place: int) -> None:
         """The client aborts a request."""
-        if (self.session, place + 1) in self._harness.front._open:
+        if (self.session, place + 1) in self._harness.front._open_requests:
             self._harness.observer.client_disconnected(request_id_at(place))
         # otherwise the abort crosses an answer that is on its way
         self.session.feed(fastcgi.record(RecordType.ABORT_REQUEST, place + 1))
--- a/edge_router/model_checker/model/settling.py
+++ b/edge_router/model_checker/model/settling.py
@@ -28,7 +28,7 @@
         "connections": router.dispatcher.pool.connection_count(),
         "attempts on connections": len(router.dispatcher._connection_of),
         "bytes of the budget": state.harness.budget._used,
-        "requests of the front": len(state.harness.front._open),
+        "requests of the front": len(state.harness.front._open_requests),
         "ids of the client": session_ids,
         "answers unsent": unsent_answers,
         "requests in the module": len(policy.pending),
--- a/edge_router/proxy/fastcgi_frontend.py
+++ b/edge_router/proxy/fastcgi_frontend.py
@@ -1,4 +1,7 @@
-"""The FastCGI frontend: converts FastCGI requests to the proxy's messages, and its responses to CGI."""
+"""The FastCGI frontend: converts FastCGI requests to the proxy's messages, and final responses to CGI.
+
+Source of the header fields: the operators' page `PROTOCOL-robinbeam.md`, "Clients to edge routers".
+"""
 
 from __future__ import annotations
 
@@ -15,10 +18,10 @@
 from edge_router.runtime.event_log import log_rate_limited
 from edge_router.transport.client_session import ClientSession
 
-READY_PATH = "/status/live"  # polled until the router is ready for requests
+READY_PATH = "/status/live"  # clients poll it until the router is ready for requests
 
-_HEADER_PREFIX = "HTTP_"  # CGI's prefix of the parameters that are header fields
-_CACHED_NAMES = 256
+_HEADER_PREFIX = "HTTP_"  # prefix of the CGI parameters that hold header fields
+_CACHED_NAMES = 256  # parameter names whose header fields are cached
 _SERVED = "200 OK"
 _UNAVAILABLE = "503 Service Unavailable"
 _STATUS_LINES = {
@@ -42,13 +45,13 @@
 
 
 def _encode_head(status_line: str, fields: Mapping[str, object]) -> bytes:
-    """The head of a CGI response, with the empty line that ends it."""
+    """Returns the head of a CGI response, including the empty line that ends it."""
     lines = [f"Status: {status_line}", *(f"{name}: {value}" for name, value in fields.items())]
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
 
 
 def encode_response_head(response: FinalResponse) -> bytes:
-    """The head of the CGI response; PROTOCOL, "Clients to edge routers"."""
+    """Returns the head of the CGI response for a final response."""
     fields: dict[str, object] = {
         "Content-Type": "application/octet-stream",
         "Content-Length": len(response.body),
@@ -64,14 +67,14 @@
 
 @lru_cache(_CACHED_NAMES)
 def _field_name(parameter: str) -> str | None:
-    """The name of the header field in a CGI parameter; None if it holds none."""
+    """Returns the name of the header field that a CGI parameter holds; None if it holds none."""
     if not parameter.startswith(_HEADER_PREFIX):
         return None
     return "-".join(word.capitalize() for word in parameter.removeprefix(_HEADER_PREFIX).split("_"))
 
 
 def header_fields(params: Mapping[str, str]) -> dict[str, str]:
-    """The header fields among CGI parameters, by the names of the protocol: HTTP_X_TXN is X-Txn."""
+    """Returns the header fields among the CGI parameters, by field name: HTTP_X_TXN becomes X-Txn."""
     return {name: value for parameter, value in params.items() if (name := _field_name(parameter))}
 
 
@@ -81,7 +84,7 @@
     def __init__(self, settings: Settings, router: RequestRouter) -> None:
         self._parser = RequestParser(settings)
         self._router = router
-        self._open: dict[tuple[ClientSession, int], ActiveRequest] = {}
+        self._open_requests: dict[tuple[ClientSession, int], ActiveRequest] = {}
         self.ready = False  # whether READY_PATH is answered with status 200
 
     def on_request(
@@ -92,7 +95,7 @@
         body: bytes,
         invalid: InvalidRequest | None,
     ) -> bool:
-        """Handles a request, complete or refused by the decoder; False if it is answered as invalid."""
+        """Handles a request, complete or found invalid by the decoder; returns whether it was valid."""
         path = params.get("SCRIPT_NAME", "") + params.get("PATH_INFO", "")
         if path == READY_PATH and invalid is None:
             connection.send_response(
@@ -103,13 +106,13 @@
             if invalid is not None:
                 raise BadRequestError(_INVALID_REQUEST_STATUSES[invalid.error], str(invalid))
             if params.get("CONTENT_LENGTH", "") not in ("", str(len(body))):
-                raise BadRequestError(HTTPStatus.BAD_REQUEST, "CONTENT_LENGTH is not that of the body")
+                raise BadRequestError(HTTPStatus.BAD_REQUEST, "CONTENT_LENGTH differs from the body length")
             respond = partial(self._respond, connection, request_id)
             incoming = self._parser.parse(path, header_fields(params), body, respond)
             incoming.time_unread = connection.time_unread
             incoming.poll_client = connection.poll_input
             if self._router.requests.is_unanswered(incoming.request_id):
-                raise BadRequestError(HTTPStatus.BAD_REQUEST, "X-Txn is that of an open request")
+                raise BadRequestError(HTTPStatus.BAD_REQUEST, "X-Txn is the id of another open request")
         except BadRequestError as error:
             log_rate_limited("bad-request", status=error.status.value, reason=str(error))
             head = _encode_head(_ERROR_STATUS_LINES[error.status], {"Content-Length": 0})
@@ -117,23 +120,23 @@
             return False
         request = self._router.on_request(incoming)
         if request is not None and not request.answered:
-            self._open[connection, request_id] = request
+            self._open_requests[connection, request_id] = request
         return True
 
     def _respond(self, connection: ClientSession, request_id: int, response: FinalResponse) -> None:
-        self._open.pop((connection, request_id), None)
+        self._open_requests.pop((connection, request_id), None)
         connection.send_response(request_id, encode_response_head(response), response.body)
 
     def on_aborted(self, connection: ClientSession, request_id: int) -> None:
-        """The client has aborted a request; the session frees its id once END_REQUEST is written."""
-        request = self._open.pop((connection, request_id), None)
+        """Handles the abort of a request; the session frees its id once END_REQUEST is written."""
+        request = self._open_requests.pop((connection, request_id), None)
         if request is not None:
             self._router.on_client_disconnected(request)
             connection.end_request(request_id, ProtocolStatus.COMPLETE)
 
     def on_disconnected(self, connection: ClientSession, request_id: int) -> None:
-        """The client has closed its side: no further attempt is sent, but it may still read a response."""
-        request = self._open.pop((connection, request_id), None)
+        """Handles that the client has closed its side: sends no further attempt, but still a response."""
+        request = self._open_requests.pop((connection, request_id), None)
         if request is not None:
             response = self._router.response_without_decision(request)
             self._router.on_client_disconnected(request)
--- a/edge_router/proxy/request_parser.py
+++ b/edge_router/proxy/request_parser.py
@@ -1,4 +1,7 @@
-"""Validates the fields of a client's request; PROTOCOL, "Clients to edge routers"."""
+"""Validates the fields of a client's request.
+
+Source: the operators' page `PROTOCOL-robinbeam.md`, "Clients to edge routers".
+"""
 
 from __future__ import annotations
 
@@ -25,7 +28,7 @@
 CLIENT_ETAG = "X-Etag"
 IDEMPOTENCY_KEY = "X-Txn-Key"
 
-# Texts are forwarded in a list of fields, so no pattern admits a comma, a blank or a control character.
+# Texts are forwarded in a list of fields, so no pattern allows a comma, a space or a control character.
 _HEX_ID = re.compile(r"[0-9a-fA-F]{16}")
 _INTEGER = re.compile(r"[0-9]{1,9}")
 _DECIMAL = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?")
@@ -33,12 +36,12 @@
 
 
 def _text(fields: Mapping[str, str], name: str, pattern: re.Pattern[str], default: str | None = None) -> str:
-    """A field's text; raises BadRequestError if it is missing or does not match."""
+    """Returns a field's text; raises BadRequestError if it is missing or does not match the pattern."""
     text = fields.get(name, default)
     if text is None:
         raise BadRequestError(HTTPStatus.BAD_REQUEST, f"{name} is missing")
     if not pattern.fullmatch(text):
-        raise BadRequestError(HTTPStatus.BAD_REQUEST, f"{name} can't be read")
+        raise BadRequestError(HTTPStatus.BAD_REQUEST, f"{name} is malformed")
     return text
 
 
@@ -49,15 +52,15 @@
     maximum: float,
     default: str | None = None,
 ) -> float:
-    """A field's number; raises BadRequestError if it is missing, does not match, or is above the maximum."""
+    """Returns a field's number; raises BadRequestError if it is missing, malformed or above the maximum."""
     value = float(_text(fields, name, pattern, default))
     if value > maximum:
         raise BadRequestError(HTTPStatus.BAD_REQUEST, f"{name} is out of range")
     return value
 
 
-def _bare_etag(text: str) -> str | None:
-    """A client's tag without its quotes and the weak prefix; None if it can't be forwarded."""
+def _normalize_etag(text: str) -> str | None:
+    """Returns an entity tag without quotes and weak prefix; None if it cannot be forwarded."""
     etag = text.strip().removeprefix("W/").strip('"')
     return etag if ETAG_PATTERN.fullmatch(etag) else None
 
@@ -78,11 +81,11 @@
     def parse(
         self, path: str, fields: Mapping[str, str], body: bytes, respond: Callable[[FinalResponse], None]
     ) -> IncomingRequest:
-        """The request made by a path, fields and a body; raises BadRequestError if it is invalid."""
+        """Returns the request with this path, fields and body; raises BadRequestError if it is invalid."""
         class_name = path.removeprefix(PATH_PREFIX)
         class_index = self._class_indexes.get(class_name)
         if not path.startswith(PATH_PREFIX) or class_index is None:
-            raise BadRequestError(HTTPStatus.NOT_FOUND, "no such class")
+            raise BadRequestError(HTTPStatus.NOT_FOUND, "the path names no known class")
         object_id = _text(fields, OBJECT_ID, _HEX_ID)
         segment = _number(fields, SEGMENT, _INTEGER, MAX_SEGMENT, "0")
         timeout = _number(fields, TIMEOUT, _DECIMAL, MAX_TIMEOUT)
@@ -90,7 +93,7 @@
             raise BadRequestError(HTTPStatus.BAD_REQUEST, f"{TIMEOUT} is 0")
         idempotency_key = None
         if IDEMPOTENCY_KEY in fields or class_index in self._classes_with_key:
-            # Required here because caches recognize a retry by the key alone.
+            # Required for these classes, because caches recognize a retry only by its key.
             idempotency_key = _text(fields, IDEMPOTENCY_KEY, _TOKEN)
         return IncomingRequest(
             request_id=_text(fields, REQUEST_ID, _HEX_ID),
@@ -103,7 +106,7 @@
             purge_group=int(_number(fields, PURGE_GROUP, _INTEGER, MAX_PURGE_GROUP, "0")),
             size_kb=_number(fields, SIZE_KB, _DECIMAL, MAX_SIZE_KB, "0"),
             timeout=timeout,
-            client_etag=_bare_etag(fields.get(CLIENT_ETAG, "")),
+            client_etag=_normalize_etag(fields.get(CLIENT_ETAG, "")),
             body=body,
             respond=respond,
             idempotency_key=idempotency_key,
--- a/edge_router/server/config_takeover.py
+++ b/edge_router/server/config_takeover.py
@@ -42,7 +42,7 @@
     def reload(self, config: RouterConfig) -> None:
         """Applies what can change while requests go on: the limits and the address of the change log.
 
-        Raises ForeignConfigError, and applies nothing, if the configuration is that of another router.
+        Raises IdentityMismatchError, and applies nothing, if the configuration is that of another router.
         """
         check_same_router(self._initial, config)
         fixed = [name for name in FIXED_FIELDS if getattr(config, name) != getattr(self._initial, name)]
