--- a/edge_router/fault_injection/local_router.py
+++ b/edge_router/fault_injection/local_router.py
@@ -1,4 +1,4 @@
-"""Runs one router process against simulated backends, on loopback ports that are free."""
+"""Runs one router process against simulated backends, on free loopback ports."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 def _settings() -> dict[str, object]:
-    """Settings that suit the simulated backends, in the form of the platform's configuration file."""
+    """Returns the section `settings` of the configuration file, with values for the simulated backends."""
     return {
         "areas": list(ZONES),
         "models": list(KINDS),
@@ -87,7 +87,10 @@
 
 
 class LocalRouter(AbstractContextManager["LocalRouter"]):
-    """A router process. Entering waits until it is ready (RuntimeError if it is not), leaving kills it."""
+    """A router process as a context manager.
+
+    On entry it starts the process and waits until the process is ready; on exit it kills the process.
+    """
 
     def __init__(
         self, command: Sequence[str], backends: SimulatedBackends, checkout: Path | None = None
@@ -99,7 +102,7 @@
 
     @property
     def process_id(self) -> int:
-        """The id of the process."""
+        """The process id."""
         assert self._process is not None
         return self._process.pid
 
@@ -115,7 +118,7 @@
         }
 
     def __enter__(self) -> LocalRouter:
-        """Starts the process, in the folder of a checkout if one was given."""
+        """Starts the process, from `checkout` if one was given; raises RuntimeError if it is not ready."""
         path = Path(self._folder.name, "config.json")
         path.write_text(json.dumps(self._config()))
         environment = {**os.environ, "RELAY_CONFIG": str(path)}
@@ -150,7 +153,7 @@
             return False
 
     def terminate(self) -> int:
-        """Sends SIGTERM and returns the exit status; raises subprocess.TimeoutExpired."""
+        """Sends SIGTERM and returns the exit status; raises subprocess.TimeoutExpired after 20 s."""
         assert self._process is not None
         self._process.send_signal(signal.SIGTERM)
         return self._process.wait(EXIT_TIMEOUT)
@@ -167,6 +170,6 @@
         error: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        """Kills the process if it still runs."""
+        """Kills the process if it is still running."""
         assert self._process is not None
         self._kill(self._process)
--- a/edge_router/fault_injection/network.py
+++ b/edge_router/fault_injection/network.py
@@ -9,14 +9,14 @@
 import trio
 
 LOOPBACK = "127.0.0.1"
-# Below the range from which the system takes the local ports of outgoing connections, so that none of those
-# takes a port between its choice here and its use.
+# Below the system's range of ephemeral ports, so that no outgoing connection takes a port between the call of
+# `free_port` and the use of the port.
 PORT_RANGE = 10_000, 30_000
-_LINGER_ZERO = struct.pack("ii", 1, 0)  # SO_LINGER of 0 seconds: a close sends a reset
+_LINGER_ZERO = struct.pack("ii", 1, 0)  # SO_LINGER of 0 seconds: closing sends a reset
 
 
 def free_port(host: str = LOOPBACK) -> int:
-    """A port of the host that nobody listens on."""
+    """Returns a port on which no process of the host listens."""
     while True:
         port = random.SystemRandom().randrange(*PORT_RANGE)
         try:
--- a/edge_router/fault_injection/protocol.py
+++ b/edge_router/fault_injection/protocol.py
@@ -1,7 +1,8 @@
-"""The wire formats as clients, caches and the change log see them: FastCGI, RESP and change log frames.
+"""The wire formats on the side of clients, caches and the change log: FastCGI, RESP and change log frames.
 
-Written from the protocol page and independent of the router's own codecs, so that a mistake in those does not
-hide itself.
+Source: the operators' page `PROTOCOL-robinbeam.md`, sections "Clients to edge routers", "Edge routers to
+caches" and "The change log". The code is independent of the router's own codecs, so that a mistake in those
+is noticed instead of being made on both sides.
 """
 
 from __future__ import annotations
@@ -20,8 +21,8 @@
 _BEGIN_BODY = struct.Struct(">HB5x")  # role, flags
 _ROLE_RESPONDER = 1
 _FLAG_KEEP_CONNECTION = 1
-_LONG_LENGTH = 1 << 31  # flag of a length in four bytes
-_FRAME_HEADER = struct.Struct(">IQB")  # length of the rest, sequence number, type
+_LONG_LENGTH = 1 << 31  # flag of a length that is encoded in four bytes
+_FRAME_HEADER = struct.Struct(">IQB")  # length of what follows, sequence number, type
 _ENDPOINT_RECORD = struct.Struct(">IIHBBBHIQ")
 _LOOPBACK = 0x7F000001
 
@@ -55,7 +56,7 @@
 
 
 class EndpointState(IntEnum):
-    """State of an endpoint in the change log."""
+    """States of an endpoint in the change log."""
 
     READY = 0
     DRAINING = 1
@@ -63,12 +64,12 @@
 
     @property
     def lifecycle(self) -> str:
-        """Its name in the configuration file."""
+        """The name of the state in the configuration file."""
         return "up" if self is EndpointState.READY else self.name.lower()
 
 
 class ProtocolError(Exception):
-    """Bytes that break the protocol."""
+    """Raised for bytes that break the protocol."""
 
 
 class Record(NamedTuple):
@@ -80,7 +81,7 @@
 
 
 class StreamReader:
-    """Buffered reading from a stream; each method raises EOFError where the stream ends."""
+    """Buffered reading from a stream; each method raises EOFError at the end of the stream."""
 
     def __init__(self, stream: trio.abc.ReceiveStream) -> None:
         self._stream = stream
@@ -93,7 +94,7 @@
         self._data += chunk
 
     async def exactly(self, count: int) -> bytes:
-        """The next `count` bytes."""
+        """Reads the next `count` bytes."""
         while len(self._data) < count:
             await self._receive()
         consumed = bytes(self._data[:count])
@@ -101,10 +102,10 @@
         return consumed
 
     async def line(self) -> bytes:
-        """The bytes up to the next line end, which is consumed."""
+        """Reads a line and consumes its end; raises ProtocolError after 64 bytes without a line end."""
         while (end := self._data.find(b"\r\n")) < 0:
             if len(self._data) > MAX_LINE:
-                raise ProtocolError("a line does not end")
+                raise ProtocolError("a line is too long")
             await self._receive()
         consumed = bytes(self._data[:end])
         del self._data[: end + 2]
@@ -112,7 +113,7 @@
 
 
 def encode_record(record_type: RecordType, fastcgi_id: int, content: bytes = b"") -> bytes:
-    """One FastCGI record."""
+    """Encodes one FastCGI record."""
     return _RECORD_HEADER.pack(1, record_type, fastcgi_id, len(content), 0, 0) + content
 
 
@@ -123,13 +124,13 @@
 
 
 def encode_begin(fastcgi_id: int) -> bytes:
-    """The record that begins a request and keeps the connection open after it."""
+    """Encodes the record that begins a request and asks to keep the connection open after it."""
     body = _BEGIN_BODY.pack(_ROLE_RESPONDER, _FLAG_KEEP_CONNECTION)
     return encode_record(RecordType.BEGIN_REQUEST, fastcgi_id, body)
 
 
 def encode_request(fastcgi_id: int, path: str, headers: Mapping[str, str], body: bytes = b"") -> bytes:
-    """A complete request; `headers` are named as CGI names them, without the prefix `HTTP_`."""
+    """Encodes a complete request; the names of `headers` are those of CGI without the prefix `HTTP_`."""
     params = _encode_param("SCRIPT_NAME", path)
     params += b"".join(_encode_param(f"HTTP_{name}", value) for name, value in headers.items())
     return (
@@ -142,7 +143,7 @@
 
 
 class RecordHeader(NamedTuple):
-    """The first 8 bytes of a FastCGI record."""
+    """The fields in the first 8 bytes of a FastCGI record."""
 
     record_type: int
     fastcgi_id: int
@@ -151,15 +152,15 @@
 
 
 def decode_record_header(header: bytes) -> RecordHeader:
-    """The header of a record; raises ProtocolError for another version of the protocol."""
+    """Decodes the header of a record; raises ProtocolError for a FastCGI version other than 1."""
     version, record_type, fastcgi_id, content_length, padding_length, _ = _RECORD_HEADER.unpack(header)
     if version != 1:
-        raise ProtocolError(f"version {version}")
+        raise ProtocolError(f"FastCGI version {version}")
     return RecordHeader(record_type, fastcgi_id, content_length, padding_length)
 
 
 async def read_records(reader: StreamReader) -> AsyncIterator[Record]:
-    """The records of a connection until it ends."""
+    """Yields the records of a connection until it ends; raises EOFError if it ends within a record."""
     while True:
         try:
             header = decode_record_header(await reader.exactly(_RECORD_HEADER.size))
@@ -178,51 +179,54 @@
 
 
 def parse_response(text: bytes) -> Response:
-    """Parses the content of STDOUT records; raises ProtocolError if it is no complete response."""
+    """Parses the content of STDOUT records; raises ProtocolError if it is not a complete response."""
     head, separator, body = text.partition(b"\r\n\r\n")
     try:
         lines = [line.split(": ", 1) for line in head.decode("ascii").split("\r\n")]
         headers = {name: value for name, value in lines}
         response = Response(int(headers["Status"][:3]), headers, body)
     except (ValueError, KeyError) as error:
-        raise ProtocolError(f"no CGI response: {head[:60]!r}") from error
+        raise ProtocolError(f"not a CGI response: {head[:60]!r}") from error
     if not separator or headers.get("Content-Length") not in (None, str(len(body))):
-        raise ProtocolError("a CGI response that is cut short")
+        raise ProtocolError("the CGI response is cut short")
     return response
 
 
 def encode_array(*items: bytes) -> bytes:
-    """One RESP array of bulk strings."""
+    """Encodes a RESP array of bulk strings."""
     return b"*%d\r\n" % len(items) + b"".join(b"$%d\r\n%b\r\n" % (len(item), item) for item in items)
 
 
 async def read_arrays(reader: StreamReader) -> AsyncIterator[list[bytes]]:
-    """The arrays of a connection until it ends."""
+    """Yields the RESP arrays of a connection until it ends; raises ProtocolError for other data."""
     while True:
         try:
             line = await reader.line()
         except EOFError:
             return
         if line[:1] != b"*" or not line[1:].isdigit():
-            raise ProtocolError(f"no array: {line!r}")
+            raise ProtocolError(f"not an array: {line!r}")
         items = []
         for _ in range(int(line[1:])):
             size = (await reader.line())[1:]
             if not size.isdigit() or int(size) > MAX_BULK:
-                raise ProtocolError(f"no bulk string: {size!r}")
+                raise ProtocolError(f"invalid bulk string length: {size!r}")
             items.append((await reader.exactly(int(size) + 2))[:-2])
         yield items
 
 
 class ArrayDecoder:
-    """Decodes RESP arrays of bulk strings, with the time at which the first byte of each arrived."""
+    """Decodes RESP arrays of bulk strings from received data, with the arrival time of their first byte."""
 
     def __init__(self) -> None:
         self._data = bytearray()
         self._array_started_at = 0.0
 
     def feed(self, now: float, data: bytes) -> Iterator[tuple[float, list[bytes]]]:
-        """The arrays that are complete with these bytes; raises ValueError for malformed lengths."""
+        """Yields the arrays that `data`, received at `now`, completes; raises ValueError for invalid lengths.
+
+        Each array comes with the time at which its first byte was received.
+        """
         if not self._data:
             self._array_started_at = now
         self._data += data
@@ -250,14 +254,14 @@
 
 
 def decode_fields(text: bytes) -> dict[str, str]:
-    """A field list (`name=value,...`, or `-` for none) as a mapping."""
+    """Decodes a field list: `name=value,...`, or `-` if it is empty."""
     if text == b"-":
         return {}
     return dict(part.split("=", 1) for part in text.decode("ascii").split(","))
 
 
 def encode_fields(fields: Mapping[str, object]) -> bytes:
-    """A mapping as a field list."""
+    """Encodes a field list."""
     return ",".join(f"{name}={value}" for name, value in fields.items()).encode() or b"-"
 
 
@@ -269,11 +273,11 @@
     state: EndpointState
     zone: int  # index in the settings' `areas`
     kind: int  # index in the settings' `models`
-    weight: int  # in thousandths
+    weight: int  # in thousandths of a concurrent transfer
     started_ms: int = 0  # Unix milliseconds; 0 where it is left out
 
     def encode(self) -> bytes:
-        """The record of 27 bytes."""
+        """Encodes the record, which has 27 bytes."""
         return _ENDPOINT_RECORD.pack(
             self.endpoint_id,
             _LOOPBACK,
@@ -288,15 +292,15 @@
 
 
 def encode_object_purge(object_id: str, purged_at_ms: int) -> bytes:
-    """Payload of an object's purge; the id is in hexadecimal."""
+    """Encodes the payload of an object's purge; `object_id` is hexadecimal."""
     return struct.pack(">QQ", int(object_id, 16), purged_at_ms)
 
 
 def encode_group_purge(group: int, purged_at_ms: int) -> bytes:
-    """Payload of a group's purge."""
+    """Encodes the payload of a purge group's purge."""
     return struct.pack(">HQ", group, purged_at_ms)
 
 
 def encode_frame(sequence_number: int, frame_type: FrameType, payload: bytes = b"") -> bytes:
-    """One frame of the change log."""
+    """Encodes one frame of the change log."""
     return _FRAME_HEADER.pack(9 + len(payload), sequence_number, frame_type) + payload
--- a/edge_router/fault_injection/router_config.py
+++ b/edge_router/fault_injection/router_config.py
@@ -1,4 +1,4 @@
-"""The configuration file of one router, in the form of the platform's pages."""
+"""The configuration file of one router, in the format that the operators' platform uses."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     purges: list[PurgeSent],
     settings: dict[str, Any],
 ) -> dict[str, Any]:
-    """The whole file as a mapping; `endpoints` and `purges` are what the router knows at its start."""
+    """Returns the content of the file; `endpoints` and `purges` are what the router knows at its start."""
     endpoint_list = {
         "generation": 1,
         "reset": True,
@@ -61,7 +61,7 @@
 
 
 def replace_file(path: Path, config: dict[str, Any]) -> None:
-    """Writes the configuration so that a reader sees the old or the new file, never a part."""
+    """Writes the configuration atomically: a reader sees the old or the new file, never a partial one."""
     new_path = path.with_suffix(".new")
     new_path.write_text(json.dumps(config))
     new_path.rename(path)
--- a/edge_router/fault_injection/simulated_backends.py
+++ b/edge_router/fault_injection/simulated_backends.py
@@ -1,4 +1,4 @@
-"""Simulated backends of one router, in threads: caches, a parent, an origin and a change log."""
+"""Simulated backends of one router, run in threads: caches, a parent, an origin and a change log."""
 
 from __future__ import annotations
 
@@ -28,41 +28,41 @@
 KINDS = ("small-box", "parent", "origin")
 CACHE_KIND, PARENT_KIND, ORIGIN_KIND = range(3)
 FIRST_CACHE_ID, PARENT_ID, ORIGIN_ID = 0x11, 0x21, 0x31
-WEIGHT = 20
-FIRST_SEQUENCE_NUMBER = 1  # of the list that the configuration holds
-PURGE_GRACE_MS = 500.0  # after which a router must know a purge
+WEIGHT = 20  # concurrent transfers, for each endpoint
+FIRST_SEQUENCE_NUMBER = 1  # of the endpoint list in the configuration
+PURGE_GRACE_MS = 500.0  # after which a router must no longer answer from purged copies
 HEARTBEAT_INTERVAL = 1.0  # seconds
 BODY_PADDING = bytes(2000)
 WRITE_CLASS = "pick-confirm"
 
 
 @dataclass(frozen=True, slots=True)
-class GivenCopy:
-    """A cache has answered with a copy; both times are Unix milliseconds."""
+class CopyResponse:
+    """A response of a cache that contains a copy; both times are Unix milliseconds."""
 
     answered_ms: float
     created_ms: float
 
 
 class SimulatedCache:
-    """A cache that answers each fetch of an object with a copy that it makes at the first one."""
+    """A cache, parent or origin; it creates its copy of an object at the first fetch."""
 
     def __init__(self, endpoint_id: int, kind: int, backends: SimulatedBackends) -> None:
         self.endpoint_id, self.kind = endpoint_id, kind
         self.fetches = 0
         self._backends = backends
-        self._created_ms: dict[str, float] = {}  # of the copies, by name
+        self._created_ms: dict[str, float] = {}  # creation times of the copies, by name
         self._server = ThreadedTcpServer(self._serve)
         self.port = self._server.port
 
     @property
     def name(self) -> str:
-        """Its name in the configuration and in logs."""
+        """The name in the configuration and in logs."""
         return f"s-{self.endpoint_id:08x}"
 
     @property
     def zone(self) -> int:
-        """Index of its zone: caches are at the edge, the others at the centre."""
+        """The index of the zone in `ZONES`: caches are at the edge, the parent and the origin are central."""
         return 1 if self.kind == CACHE_KIND else 0
 
     def _serve(self, connection: socket.socket) -> None:
@@ -76,9 +76,9 @@
                     )
 
     def copy(self, name: str, max_age_ms: float) -> tuple[float, bool]:
-        """When its copy was created, and whether that is a hit; one that is too old is made anew.
+        """Returns when the copy was created (Unix milliseconds) and whether it is a hit.
 
-        Times are Unix milliseconds; a maximum age of 0 allows any.
+        A missing copy, or one older than `max_age_ms`, is created now; a maximum age of 0 allows any age.
         """
         now = time.time() * 1000.0
         created_ms = self._created_ms.get(name)
@@ -88,29 +88,29 @@
         return now, False
 
     def close(self) -> None:
-        """Ends the cache: its connections are closed and new ones refused."""
+        """Stops the cache: closes its connections and refuses new ones."""
         self._server.close()
 
 
 class SimulatedBackends:
-    """All servers around one router, and what they have seen."""
+    """All servers that one router uses; they record writes and the copies in responses."""
 
     def __init__(self, caches: int) -> None:
         self._lock = threading.Lock()
-        self._executions: Counter[str] = Counter()  # of writes, by request id
-        self._given_copies: list[GivenCopy] = []
+        self._executions: Counter[str] = Counter()  # number of executions of each write, by request id
+        self._copy_responses: list[CopyResponse] = []
         self.caches = [SimulatedCache(FIRST_CACHE_ID + n, CACHE_KIND, self) for n in range(caches)]
         self._sources = [
             SimulatedCache(PARENT_ID, PARENT_KIND, self),
             SimulatedCache(ORIGIN_ID, ORIGIN_KIND, self),
         ]
-        self._frames: list[bytes] = []  # of the events after the first
-        self._followers: list[socket.socket] = []
-        self._change_log = ThreadedTcpServer(self._follow)
+        self._frames: list[bytes] = []  # change log frames of the events after the first
+        self._change_log_connections: list[socket.socket] = []
+        self._change_log = ThreadedTcpServer(self._serve_change_log)
         self.change_log_port = self._change_log.port
 
     def respond(self, cache: SimulatedCache, request_id: str, fields: dict[str, str]) -> bytes:
-        """A cache's response to a fetch, encoded."""
+        """Returns a cache's encoded response to a fetch."""
         with self._lock:
             if fields["cls"] == WRITE_CLASS:
                 self._executions[request_id] += 1
@@ -118,7 +118,7 @@
                 return encode_array(request_id.encode(), b"200", encode_fields(headers), b"confirmed")
             name = f"{fields['item']}/{fields['chunk']}"
             created_ms, hit = cache.copy(name, float(fields.get("oldest", 0)))
-            self._given_copies.append(GivenCopy(time.time() * 1000.0, created_ms))
+            self._copy_responses.append(CopyResponse(time.time() * 1000.0, created_ms))
         object_id = int(fields["item"], 16)
         headers = {
             "tell": "hit" if hit else "filled",
@@ -130,20 +130,20 @@
         return encode_array(request_id.encode(), b"200", encode_fields(headers), body)
 
     def count_stale_answers(self, purged_at_ms: float) -> int:
-        """Answers from copies older than a purge, given after the purge's grace period."""
+        """Counts responses with copies older than a purge, sent after the purge's grace period."""
         with self._lock:
             return sum(
-                given.answered_ms > purged_at_ms + PURGE_GRACE_MS and given.created_ms < purged_at_ms
-                for given in self._given_copies
+                response.answered_ms > purged_at_ms + PURGE_GRACE_MS and response.created_ms < purged_at_ms
+                for response in self._copy_responses
             )
 
     def count_repeated_writes(self) -> int:
-        """Writes that were executed more than once."""
+        """Counts the writes that were executed more than once."""
         with self._lock:
             return sum(count > 1 for count in self._executions.values())
 
     def known(self) -> dict[str, object]:
-        """The endpoint list at the router's start, in the form of the configuration's `known`."""
+        """Returns the entry `known` of the configuration file: the endpoint list at the router's start."""
         entries = [
             {
                 "instanceId": cache.name,
@@ -164,13 +164,13 @@
     def _last_sequence_number(self) -> int:
         return FIRST_SEQUENCE_NUMBER + len(self._frames)
 
-    def _follow(self, connection: socket.socket) -> None:
-        """Serves one connection to the change log: the later events at once, then heartbeats."""
+    def _serve_change_log(self, connection: socket.socket) -> None:
+        """Serves a change log connection: sends the events that the router lacks, then heartbeats."""
         (last_known,) = struct.unpack(">Q", connection.recv(8, socket.MSG_WAITALL))
         with self._lock:
             for frame in self._frames[max(0, last_known - FIRST_SEQUENCE_NUMBER) :]:
                 connection.sendall(frame)
-            self._followers.append(connection)
+            self._change_log_connections.append(connection)
         while True:
             time.sleep(HEARTBEAT_INTERVAL)
             with self._lock:
@@ -179,23 +179,23 @@
     def _publish(self, frame_type: FrameType, payload: bytes) -> None:
         with self._lock:
             self._frames.append(encode_frame(self._last_sequence_number() + 1, frame_type, payload))
-            for follower in self._followers:
+            for connection in self._change_log_connections:
                 with contextlib.suppress(OSError):
-                    follower.sendall(self._frames[-1])
+                    connection.sendall(self._frames[-1])
 
     def publish_state(self, cache: SimulatedCache, state: EndpointState) -> None:
-        """Adds an event to the change log: the state of a cache has changed."""
+        """Adds a cache's new state to the change log."""
         record = EndpointRecord(cache.endpoint_id, cache.port, state, cache.zone, cache.kind, WEIGHT * 1000)
         self._publish(FrameType.ENDPOINT_CHANGES, record.encode())
 
     def publish_group_purge(self, group: int) -> int:
-        """Adds the purge of a group to the change log; returns its Unix millisecond."""
+        """Adds the purge of a purge group to the change log; returns its time in Unix milliseconds."""
         purged_at_ms = int(time.time() * 1000.0)
         self._publish(FrameType.GROUP_PURGED, encode_group_purge(group, purged_at_ms))
         return purged_at_ms
 
     def close(self) -> None:
-        """Ends all servers."""
+        """Stops all servers."""
         for cache in (*self.caches, *self._sources):
             cache.close()
         self._change_log.close()
--- a/edge_router/fault_injection/tcp_server.py
+++ b/edge_router/fault_injection/tcp_server.py
@@ -1,4 +1,4 @@
-"""A TCP server on a free loopback port, with a thread for each connection."""
+"""A TCP server on a free loopback port, with one thread per connection."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ThreadedTcpServer:
-    """Accepts connections, and calls `serve` for each in a thread of its own, until it is closed."""
+    """Accepts connections until it is closed, and calls `serve` for each in a new thread."""
 
     def __init__(self, serve: Callable[[socket.socket], None]) -> None:
         self._serve = serve
--- a/edge_router/fault_injection/traffic.py
+++ b/edge_router/fault_injection/traffic.py
@@ -7,42 +7,41 @@
 from edge_router.fault_injection.observations import ClientRequest
 from edge_router.fault_injection.protocol import encode_request
 
-CLASS_SHARES = {"photo": 0.55, "page": 0.3, "order": 0.08, "vote": 0.07}
+CLASS_SHARES = {"photo": 0.55, "page": 0.3, "order": 0.08, "vote": 0.07}  # fractions of the requests
 READ_CLASSES = ("photo", "page")
 ORDER_CLASS = "order"  # not idempotent
-VOTE_CLASS = "vote"  # idempotent with its key
+VOTE_CLASS = "vote"  # idempotent, since it has an idempotency key
 WRITE_CLASSES = (ORDER_CLASS, VOTE_CLASS)
 OBJECTS = 300
 GROUPS = 16
 CHUNKS = 3
 TIMEOUTS = (0.12, 0.5, 1.0, 1.5)  # seconds
-CONDITIONAL_SHARE = 0.2  # of the reads, those that name the client's copy
+CONDITIONAL_SHARE = 0.2  # fraction of reads that name the client's stored copy
 WRITE_BODY = b"b" * 100
-_GOLDEN_RATIO_64 = 0x9E3779B97F4A7C15  # spreads consecutive numbers over all 64-bit ids
+_GOLDEN_RATIO_64 = 0x9E3779B97F4A7C15  # as a factor, spreads consecutive numbers over all 64-bit ids
 
 
 def object_id_of(number: int) -> str:
-    """The id of the object of that popularity rank, in hexadecimal."""
+    """Returns the hexadecimal id of the object with popularity rank `number`."""
     return f"{number * _GOLDEN_RATIO_64 % (1 << 64):016x}"
 
 
 def working_set_kb(object_id: str) -> int:
-    """Size of an object in KB: 20 to 220."""
+    """Returns the size of an object in KB, 20 to 220, derived from its id."""
     return 20 + int(object_id[:4], 16) % 200
 
 
 class RequestGenerator:
-    """Draws the requests of one router's clients."""
+    """Draws random requests of one router's clients."""
 
     def __init__(self, router: str, generator: random.Random) -> None:
         self._router = router
         self._random = generator
-        self._stored_etags: dict[
-            tuple[str, int], str
-        ] = {}  # of copies that clients have, by object and chunk
+        # Entity tags of the copies that clients have stored, by object and chunk.
+        self._stored_etags: dict[tuple[str, int], str] = {}
 
     def draw(self) -> ClientRequest:
-        """The next request."""
+        """Draws the next request."""
         class_name = self._random.choices(list(CLASS_SHARES), list(CLASS_SHARES.values()))[0]
         number = min(int(self._random.paretovariate(0.9)), OBJECTS)
         request = ClientRequest(
@@ -59,13 +58,13 @@
         return request
 
     def store(self, request: ClientRequest) -> None:
-        """Remembers the copy that a request was answered with."""
+        """Stores the entity tag of the copy in the answer to a request."""
         if request.response_etag:
             self._stored_etags[request.object_id, request.chunk] = request.response_etag
 
 
 def encode_client_request(fastcgi_id: int, request: ClientRequest) -> bytes:
-    """A request as FastCGI records."""
+    """Encodes a request as FastCGI records."""
     headers = {
         "X_TXN": request.request_id,
         "X_TTL_MS": str(round(request.timeout * 1000)),
