--- a/edge_router/discovery/__init__.py
+++ b/edge_router/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""What is known of endpoints and purges, and the change log that it comes from."""
+"""Discovery: the endpoints and purges that the router knows, and the change log that reports them."""
--- a/edge_router/discovery/change_log_decoder.py
+++ b/edge_router/discovery/change_log_decoder.py
@@ -1,4 +1,7 @@
-"""Turns frames of the change log into discovery events, each once and in order; knows no I/O."""
+"""Converts frames of the change log to discovery events, each once and in order, without I/O.
+
+Source: the operators' page `PROTOCOL-robinbeam.md`, section "The change log".
+"""
 
 from __future__ import annotations
 
@@ -8,9 +11,9 @@
 from edge_router.discovery.events import (
     DiscoveryEvent,
     DiscoveryListener,
-    EndpointAddress,
     EndpointsChanged,
-    ObjectPurged,
+    ListedEndpoint,
+    ObjectsPurged,
 )
 from edge_router.protocol.change_log_frames import (
     ChangeLogError,
@@ -26,8 +29,8 @@
 _STATES = {0: EndpointState.READY, 1: EndpointState.DRAINING, 2: EndpointState.GONE}
 
 
-def _endpoint_address(record: EndpointRecord) -> EndpointAddress:
-    """An endpoint of a list. One in an unknown state takes no new work, as if it were draining."""
+def _listed_endpoint(record: EndpointRecord) -> ListedEndpoint:
+    """Converts an endpoint of a list; an unknown state counts as draining, so it gets no new requests."""
     endpoint = Endpoint(
         record.endpoint_id,
         record.role,
@@ -37,42 +40,43 @@
         record.zone,
         record.weight,
     )
-    return EndpointAddress(endpoint, record.address, record.port)
+    return ListedEndpoint(endpoint, record.address, record.port)
 
 
 def _decode_event(frame: Frame) -> DiscoveryEvent | None:
-    """The event of a frame; None for a kind that is not known. Raises ChangeLogError if it is malformed."""
+    """Decodes a frame's event; None if its kind is unknown. Raises ChangeLogError if it is malformed."""
     try:
         if frame.kind in (FrameKind.COMPLETE_LIST, FrameKind.ENDPOINT_CHANGES):
-            endpoints = tuple(map(_endpoint_address, decode_endpoint_records(frame.payload)))
+            endpoints = tuple(map(_listed_endpoint, decode_endpoint_records(frame.payload)))
             return EndpointsChanged(frame.kind == FrameKind.COMPLETE_LIST, endpoints)
         if frame.kind == FrameKind.OBJECT_PURGE:
             key, time = decode_object_purge(frame.payload)
-            return ObjectPurged(time, 0, key)
+            return ObjectsPurged(time, 0, key)
         if frame.kind == FrameKind.GROUP_PURGE:
             group, time = decode_group_purge(frame.payload)
-            return ObjectPurged(time, group, 0)
+            return ObjectsPurged(time, group, 0)
     except struct.error as error:
-        raise ChangeLogError(f"event {frame.sequence} of kind {frame.kind}: {error}") from error
+        raise ChangeLogError(f"malformed event {frame.sequence} of kind {frame.kind}: {error}") from error
     return None
 
 
 class ChangeLogDecoder:
-    """Passes each event on once and in order, over as many connections as that takes."""
+    """Passes each event to the listener once and in order, across any number of connections."""
 
     def __init__(self, last_sequence: int) -> None:
         self.last_sequence = last_sequence  # of the last event that was processed
-        self._sequence_after_gap = 0  # of the event that last came too early
-        self._replaying_all = False  # all events were requested, as some were missing twice
+        self._sequence_after_gap = 0  # of the last event before which others were missing
+        self._replaying_all = False  # all events were requested, as a gap was found twice
 
     def resume_request(self) -> bytes:
-        """The first bytes to send on a connection: they request the events after the last one."""
+        """Encodes the first bytes to send on a connection, which request the events after the last one."""
         return encode_resume(self.last_sequence)
 
     def process(self, frame: Frame, listener: DiscoveryListener) -> bool:
-        """Passes an event on if it is new; False if events before it are missing: request them again.
+        """Passes a frame's event to the listener if it is new.
 
-        Raises ChangeLogError if the frame is malformed; it then does not count as processed.
+        Returns False if events before it are missing and have to be requested again. Raises ChangeLogError if
+        the frame is malformed; its event then does not count as processed.
         """
         if frame.kind == FrameKind.HEARTBEAT:
             return True
@@ -92,15 +96,15 @@
         return True
 
     def _accept_gap(self, sequence: int) -> bool:
-        """Whether to process an event although some before it are missing.
+        """Whether to process an event although events before it are missing.
 
-        The log may no longer have them, so they are requested only once. If they are missing again, all
-        events are requested, and with them the complete list, as the gap may have held a drain or a purge.
-        A log that lacks even those is followed from where it begins.
+        The log may no longer have them, so they are requested only once more. If they are missing again, all
+        events are requested, and with them the complete list, as a drain or a purge may be missing. If the
+        log has a gap even then, it is followed from the first event that it has.
         """
         if self._replaying_all:
             return True
-        again, self._sequence_after_gap = sequence == self._sequence_after_gap, sequence
-        if again:
+        same_gap, self._sequence_after_gap = sequence == self._sequence_after_gap, sequence
+        if same_gap:
             self.last_sequence, self._replaying_all = 0, True
         return False
--- a/edge_router/discovery/events.py
+++ b/edge_router/discovery/events.py
@@ -1,4 +1,4 @@
-"""The events on endpoints and purges, and the roles of those who send and receive them."""
+"""Discovery events about endpoints and purges, and the interface of their receiver."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from edge_router.decision.messages import Endpoint
 
 
-class EndpointAddress(NamedTuple):
-    """An endpoint as listed, and where it listens for this router."""
+class ListedEndpoint(NamedTuple):
+    """An endpoint of the list, with the address at which this router reaches it."""
 
     endpoint: Endpoint
     host: str
@@ -16,25 +16,25 @@
 
 
 class EndpointsChanged(NamedTuple):
-    """The complete list of endpoints, or what has changed in it."""
+    """The complete list of endpoints, or only those that have changed."""
 
     complete: bool
-    endpoints: tuple[EndpointAddress, ...]
+    endpoints: tuple[ListedEndpoint, ...]
 
 
-class ObjectPurged(NamedTuple):
-    """An object, or with key 0 a purge group, was purged at that Unix time in ms."""
+class ObjectsPurged(NamedTuple):
+    """A purge at that Unix time (ms), of an object or, if `object_key` is 0, of a purge group."""
 
     unix_time: float
     purge_group: int
     object_key: int
 
 
-DiscoveryEvent = EndpointsChanged | ObjectPurged
+DiscoveryEvent = EndpointsChanged | ObjectsPurged
 
 
 class DiscoveryListener(Protocol):
-    """Receives the events, in order."""
+    """Receives discovery events."""
 
     def on_discovery_event(self, event: DiscoveryEvent) -> None:
-        """Called with each event, once."""
+        """Called once with each event, in order."""
--- a/edge_router/model_checker/model/change_log.py
+++ b/edge_router/model_checker/model/change_log.py
@@ -6,7 +6,7 @@
 
 from edge_router.decision.messages import EndpointState
 from edge_router.discovery.change_log_decoder import ChangeLogDecoder
-from edge_router.discovery.events import DiscoveryEvent, EndpointsChanged, ObjectPurged
+from edge_router.discovery.events import DiscoveryEvent, EndpointsChanged, ObjectsPurged
 from edge_router.model_checker.model.endpoints import Endpoints
 from edge_router.model_checker.model.harness import Harness
 from edge_router.model_checker.observations import ObservedPurge
@@ -124,7 +124,7 @@
         observer = self._harness.observer
         if isinstance(event, EndpointsChanged):
             observer.endpoints_received(tuple(member.endpoint for member in event.endpoints), event.complete)
-        elif isinstance(event, ObjectPurged):
+        elif isinstance(event, ObjectsPurged):
             observer.purge_received(
                 ObservedPurge(self._harness.now, event.unix_time, event.purge_group, event.object_key)
             )
--- a/edge_router/proxy/discovery_updates.py
+++ b/edge_router/proxy/discovery_updates.py
@@ -6,7 +6,7 @@
 
 from edge_router.decision.messages import Endpoint, EndpointListUpdate, Event, PurgeReceived, UpdateKind
 from edge_router.discovery.endpoint_table import EndpointTable
-from edge_router.discovery.events import DiscoveryEvent, EndpointsChanged, ObjectPurged
+from edge_router.discovery.events import DiscoveryEvent, EndpointsChanged, ObjectsPurged
 from edge_router.discovery.purge_history import PurgeHistory
 from edge_router.proxy.dispatcher import AttemptDispatcher
 from edge_router.proxy.request_table import RequestTable
@@ -38,7 +38,7 @@
         The attempts that wait to be written are checked again after the decisions have seen the event.
         """
         unsent = self._requests.unsent_attempts()
-        if isinstance(event, ObjectPurged):
+        if isinstance(event, ObjectsPurged):
             self._record_purge(event)
             for attempt in unsent:
                 incoming = attempt.request.incoming
@@ -52,7 +52,7 @@
         for attempt in unsent:
             self._dispatcher.check_sendable(attempt)
 
-    def _record_purge(self, event: ObjectPurged) -> None:
+    def _record_purge(self, event: ObjectsPurged) -> None:
         self._peer_clock.observe_event(event.unix_time)
         now = self._clock.now()
         self._purges.record(now, event.object_key, event.purge_group, event.unix_time)
