--- a/edge_router/model_checker/codecs.py
+++ b/edge_router/model_checker/codecs.py
@@ -115,7 +115,7 @@
     decoder.close()
     if budget._used:
         error += f" and {budget._used} bytes kept"
-    return (*out, f"open {sorted(decoder.open_ids)} away {decoder.rejected_in_a_row}"), error
+    return (*out, f"open {sorted(decoder.open_ids)} away {decoder.consecutive_rejections}"), error
 
 
 def _begin(ident: int, role: int = 1, flags: int = 1) -> bytes:
--- a/edge_router/model_checker/fingerprint/transport.py
+++ b/edge_router/model_checker/fingerprint/transport.py
@@ -34,7 +34,7 @@
             "_owner": WIRING,
             "_clock": WIRING,
             "_sock": WIRING,
-            "_pumping": "false between steps",
+            "_flushing": "false between steps",
             "_close_reason": REPORTED,
         },
     ),
@@ -55,7 +55,8 @@
         },
     ),
     fastcgi.FastCgiDecoder: Fields(
-        "_partial_requests open_ids rejected_in_a_row keep_connection", {"_budget": WIRING, "_clock": WIRING}
+        "_partial_requests open_ids consecutive_rejections keep_connection",
+        {"_budget": WIRING, "_clock": WIRING},
     ),
 }
 
@@ -84,7 +85,7 @@
     return (
         tuple(sorted(decoder.open_ids)),
         tuple(sorted(decoder._partial_requests)),
-        decoder.rejected_in_a_row,
+        decoder.consecutive_rejections,
         decoder.keep_connection,
         len(session._buffer),
         str(session._close_reason or ""),
--- a/edge_router/model_checker/model/caches.py
+++ b/edge_router/model_checker/model/caches.py
@@ -85,7 +85,7 @@
 
     def give_up_connecting(self, name: str) -> None:
         """The router has waited for the connection as long as it may."""
-        self._harness.remove_channel(name).on_closed("not up in time")
+        self._harness.remove_channel(name).on_closed("connect timeout expired")
 
     # -- answers --
 
--- a/edge_router/model_checker/mutations/transport.py
+++ b/edge_router/model_checker/mutations/transport.py
@@ -66,7 +66,7 @@
         "abort-not-passed-on",
         fastcgi.FastCgiDecoder,
         "_on_abort",
-        "return RequestAborted(ident)",
+        "return RequestAborted(request_id)",
         "return None",
         ("hedge", "clients"),
         "none-to-left",
--- a/edge_router/protocol/__init__.py
+++ b/edge_router/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Codecs: bytes to messages and back, without I/O."""
+"""Codecs of the network protocols, without I/O."""
--- a/edge_router/protocol/buffer.py
+++ b/edge_router/protocol/buffer.py
@@ -5,16 +5,16 @@
 import struct
 from typing import Any
 
-INITIAL_SIZE = 4096  # bytes of a new buffer, and the default least size of the view for a read
+INITIAL_SIZE = 4096  # bytes of a new buffer, and the default minimum size of a view to receive into
 MAX_IDLE_SIZE = 65_536  # bytes; an empty buffer larger than this is replaced by a new one
 
 
 class BufferFullError(Exception):
-    """The peer sent more than the buffer may hold unread."""
+    """The peer sent more unread bytes than the buffer may hold."""
 
 
 class ReceiveBuffer:
-    """A bytearray whose bytes between `_start` and `_end` are unread; at most `max_size` bytes."""
+    """A byte buffer of at most `max_size` bytes; those from `_start` up to `_end` are unread."""
 
     def __init__(self, max_size: int) -> None:
         self._data = bytearray(INITIAL_SIZE)
@@ -26,10 +26,10 @@
         return self._end - self._start
 
     def writable_view(self, min_size: int = INITIAL_SIZE) -> memoryview:
-        """A view of the free space to receive into, of `min_size` bytes unless `max_size` is reached.
+        """Returns a view of the free space to receive into, of `min_size` bytes or more below `max_size`.
 
-        Release it (or leave its `with` block) before any other call: the buffer can't be resized while a
-        view of it exists. Raises BufferFullError if there is no space.
+        Release the view (or leave its `with` block) before any other call: the buffer can't be resized while
+        a view exists. Raises BufferFullError if there is no free space.
         """
         if self._start == self._end:
             self._start = self._end = 0
@@ -42,7 +42,7 @@
         if len(self._data) - self._end < min_size:
             size = min(self._max_size, max(2 * len(self._data), self._end + min_size))
             if size <= self._end:
-                raise BufferFullError(f"{self._end} bytes unread")
+                raise BufferFullError(f"receive buffer is full: {self._end} bytes are unread")
             self._data.extend(bytes(size - len(self._data)))
         return memoryview(self._data)[self._end :]
 
@@ -51,18 +51,18 @@
         self._end += count
 
     def append(self, data: bytes | bytearray) -> None:
-        """Appends bytes; raises BufferFullError if there is no space."""
+        """Appends bytes; raises BufferFullError if there is no free space."""
         with self.writable_view(len(data)) as view:
             view[: len(data)] = data
         self.commit(len(data))
 
     def find(self, delimiter: bytes, within: int) -> int:
-        """The offset of the delimiter from the first unread byte; -1 if the first `within` bytes lack it."""
+        """Returns the delimiter's offset from the first unread byte; -1 if not within that many bytes."""
         position = self._data.find(delimiter, self._start, min(self._end, self._start + within))
         return position - self._start if position >= 0 else -1
 
     def peek_struct(self, layout: struct.Struct) -> tuple[Any, ...]:
-        """Unpacks the next bytes without consuming them; there must be enough."""
+        """Unpacks the next bytes without consuming them; the caller checks that there are enough."""
         return layout.unpack_from(self._data, self._start)
 
     def read(self, count: int) -> bytes:
--- a/edge_router/protocol/change_log_frames.py
+++ b/edge_router/protocol/change_log_frames.py
@@ -1,4 +1,7 @@
-"""The frames of the change log's connection: bytes to frames and records, without I/O (page: discovery)."""
+"""Decodes frames and records of the change log's connection, without I/O.
+
+Source: the operators' page `PROTOCOL-robinbeam.md`, section "The change log".
+"""
 
 from __future__ import annotations
 
@@ -10,10 +13,10 @@
 
 from edge_router.protocol.buffer import ReceiveBuffer
 
-MAX_FRAME_SIZE = 1 << 20  # bytes of the longest frame: a list of many thousand endpoints
+MAX_FRAME_SIZE = 1 << 20  # bytes; enough for a list of many thousand endpoints
 
 _LENGTH = struct.Struct(">I")
-_HEAD = struct.Struct(">QB")  # sequence and kind; the length of a frame counts these and the payload
+_HEAD = struct.Struct(">QB")  # sequence and kind; the length of a frame covers these and the payload
 _ENDPOINT = struct.Struct(">IIHBBBHIQ")
 _OBJECT_PURGE = struct.Struct(">QQ")
 _GROUP_PURGE = struct.Struct(">HQ")
@@ -21,7 +24,7 @@
 
 
 class FrameKind(IntEnum):
-    """The kinds of frames; a frame may also have a kind that is not known here."""
+    """The known kinds of frames; a frame may also have another kind."""
 
     HEARTBEAT = 0
     COMPLETE_LIST = 1
@@ -35,7 +38,7 @@
 
 
 class Frame(NamedTuple):
-    """One complete frame; `kind` is a `FrameKind` or a number that is not known here."""
+    """One complete frame; `kind` is a `FrameKind` or the number of an unknown kind."""
 
     sequence: int
     kind: int
@@ -43,7 +46,7 @@
 
 
 class EndpointRecord(NamedTuple):
-    """One endpoint of a list, as it is on the wire."""
+    """One endpoint of a list; state, zone, role and cell are the numbers on the wire."""
 
     endpoint_id: int
     address: str
@@ -57,7 +60,7 @@
 
 
 def encode_resume(last_sequence: int) -> bytes:
-    """The first bytes that the router sends on a connection: it wants the events after this one."""
+    """Encodes the router's first bytes on a connection, which request the events after this one."""
     return _RESUME.pack(last_sequence)
 
 
@@ -66,7 +69,7 @@
     while len(buffer) >= _LENGTH.size:
         (length,) = buffer.peek_struct(_LENGTH)
         if not _HEAD.size <= length <= MAX_FRAME_SIZE:
-            raise ChangeLogError(f"a frame of {length} bytes")
+            raise ChangeLogError(f"frame length of {length} bytes is out of bounds")
         if len(buffer) < _LENGTH.size + length:
             return
         buffer.skip(_LENGTH.size)
@@ -76,7 +79,7 @@
 
 
 def decode_endpoint_records(payload: bytes) -> Iterator[EndpointRecord]:
-    """The endpoints of a list; raises struct.error if the payload is cut short."""
+    """Decodes the endpoints of a list; raises struct.error if the payload is truncated."""
     for endpoint_id, address, port, state, zone, role, cell, weight, started in _ENDPOINT.iter_unpack(
         payload
     ):
@@ -94,12 +97,12 @@
 
 
 def decode_object_purge(payload: bytes) -> tuple[int, float]:
-    """The object's key and the Unix time in ms; raises struct.error if the payload has another size."""
+    """Returns the object's key and the Unix time in ms; raises struct.error if the size is wrong."""
     key, time = _OBJECT_PURGE.unpack(payload)
     return key, float(time)
 
 
 def decode_group_purge(payload: bytes) -> tuple[int, float]:
-    """The group and the Unix time in ms; raises struct.error if the payload has another size."""
+    """Returns the purge group and the Unix time in ms; raises struct.error if the size is wrong."""
     group, time = _GROUP_PURGE.unpack(payload)
     return group, float(time)
--- a/edge_router/protocol/resp.py
+++ b/edge_router/protocol/resp.py
@@ -1,4 +1,7 @@
-"""RESP, as far as the caches speak it (arrays of bulk strings): a codec without I/O."""
+"""A codec without I/O for the part of RESP that the caches use: arrays of bulk strings.
+
+Source: the operators' page `PROTOCOL-robinbeam.md`, section "Edge routers to caches".
+"""
 
 from __future__ import annotations
 
@@ -7,34 +10,37 @@
 
 from edge_router.protocol.buffer import ReceiveBuffer
 
-MAX_ITEMS = 16  # in one array
+MAX_ITEMS = 16  # bulk strings in one array
 MAX_BULK_SIZE = 1 << 18  # bytes
-MAX_LINE_SIZE = 32  # bytes of a length line
+MAX_LINE_SIZE = 32  # bytes of a length line such as `*4` or `$16`, with its line end
 
 _LINE_END = b"\r\n"
-_FIELD_PATTERN = rb"[a-z0-9_]+=[!-+\--~]*"  # printable ASCII without blanks and commas
+_FIELD_PATTERN = rb"[a-z0-9_]+=[!-+\--~]*"  # values: printable ASCII without spaces and commas
 _FIELD_LIST = re.compile(_FIELD_PATTERN + b"(," + _FIELD_PATTERN + b")*")
 
 
 class RespError(Exception):
-    """Bytes that are not an array of bulk strings, or a bulk string that is not a field list."""
+    """The input is not an array of bulk strings, or a bulk string is not a field list."""
 
 
 def encode(*items: bytes) -> bytes:
-    """One array of bulk strings."""
+    """Encodes one array of bulk strings."""
     return b"*%d\r\n" % len(items) + b"".join([b"$%d\r\n%b\r\n" % (len(item), item) for item in items])
 
 
 class RespDecoder:
-    """Decodes the arrays of one connection, however the bytes were split into reads."""
+    """Decodes the arrays of one connection, in whatever pieces their bytes arrive."""
 
     def __init__(self) -> None:
         self._items: list[bytes] = []
         self._missing_items = 0
-        self._bulk_size: int | None = None  # of the partial item, once its length line was read
+        self._bulk_size: int | None = None  # size of the item that comes next, once its length line was read
 
     def missing_bytes(self, unread: int) -> int:
-        """How many bytes the partial item needs beyond those unread, so that a long one takes few reads."""
+        """Returns how many bytes the partial item still needs, so that a long item takes few reads.
+
+        `unread` is the number of bytes in the buffer that were not consumed yet.
+        """
         return 0 if self._bulk_size is None else max(0, self._bulk_size + len(_LINE_END) - unread)
 
     def is_partial(self) -> bool:
@@ -43,23 +49,23 @@
 
     @staticmethod
     def _read_length(buffer: ReceiveBuffer, prefix: bytes, minimum: int, maximum: int) -> int | None:
-        """Consumes a line like `*4` or `$16` and returns its number; None if the line is not complete yet.
+        """Consumes a length line and returns its number; None if the line is not complete yet.
 
-        Raises RespError if the line has another prefix or a number out of bounds.
+        Raises RespError if the line has another prefix, no number or one that is out of bounds.
         """
         end = buffer.find(_LINE_END, MAX_LINE_SIZE)
         if end < 0:
             if len(buffer) >= MAX_LINE_SIZE:
-                raise RespError("a length line does not end")
+                raise RespError("length line is too long")
             return None
         line = buffer.read(end)
         buffer.skip(len(_LINE_END))
         if line[:1] != prefix or not line[1:].isdigit() or not minimum <= int(line[1:]) <= maximum:
-            raise RespError(f"a length line reads {line!r}")
+            raise RespError(f"invalid length line {line!r}")
         return int(line[1:])
 
     def decode_arrays(self, buffer: ReceiveBuffer) -> Iterator[list[bytes]]:
-        """Consumes the complete arrays of the buffer; raises RespError if the bytes are none."""
+        """Consumes and yields the complete arrays in the buffer; raises RespError if they are malformed."""
         while True:
             if not self._missing_items:
                 count = self._read_length(buffer, b"*", 1, MAX_ITEMS)
@@ -76,7 +82,7 @@
                     return
                 self._items.append(buffer.read(self._bulk_size))
                 if buffer.read(len(_LINE_END)) != _LINE_END:
-                    raise RespError("a bulk string is longer than its length")
+                    raise RespError("bulk string does not end after its announced length")
                 self._missing_items, self._bulk_size = self._missing_items - 1, None
                 if not self._missing_items:
                     yield self._items
@@ -88,9 +94,9 @@
 
 
 def parse_fields(text: bytes) -> dict[str, str]:
-    """Parses a field list as encode_fields writes it; raises RespError if it is malformed."""
+    """Parses a field list in the format of `encode_fields`; raises RespError if it is malformed."""
     if text == b"-":
         return {}
     if not _FIELD_LIST.fullmatch(text):
-        raise RespError(f"fields read {text[:40]!r}")
+        raise RespError(f"malformed field list {text[:40]!r}")
     return dict(pair.split("=", 1) for pair in text.decode("ascii").split(","))
--- a/edge_router/server/client_acceptor.py
+++ b/edge_router/server/client_acceptor.py
@@ -183,7 +183,7 @@
         sees an orderly end instead of a reset. While half-closed clients remain, no others are chosen.
         """
         now = self._clock.now()
-        closing = [client for client in self.clients if client.is_closing() and client.is_quiet()]
+        closing = [client for client in self.clients if client.is_closing() and client.is_fully_answered()]
         if closing:
             expired = [client for client in closing if client.last_used <= now - MIN_IDLE_TIME]
             for client in expired:
--- a/edge_router/transport/__init__.py
+++ b/edge_router/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Client sessions and upstream connections: state machines without I/O, and trio around them."""
+"""Client sessions and upstream connections: state machines without I/O, and their I/O with trio."""
--- a/edge_router/transport/client_connection.py
+++ b/edge_router/transport/client_connection.py
@@ -1,4 +1,4 @@
-"""A client connection over trio: the I/O of a `ClientSession`."""
+"""The I/O of a `ClientSession` with trio."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 from edge_router.transport.close_reason import CloseReason
 from edge_router.transport.receive_age import last_received_ago
 
-LINGER_TIMEOUT = 1.0  # seconds for which a closing connection reads and discards input
-MAX_LINGER_BYTES = 1 << 20  # bytes that a client may still send while its connection is closing
-WRITE_TIMEOUT = 10.0  # seconds for which a client may read nothing while responses wait
+LINGER_TIMEOUT = 1.0  # seconds for which a closing connection still reads and discards input
+MAX_LINGER_BYTES = 1 << 20  # bytes of input after which a closing connection stops reading
+WRITE_TIMEOUT = 10.0  # seconds for which a client may leave its responses unread
 
 
 def no_stall() -> float:
-    """The default for `stall_duration`: the process never stalled."""
+    """Returns 0: the default `stall_duration`, for a process that never stalls."""
     return 0.0
 
 
 class ClientConnection(ClientSession):
-    """A client session on a non-blocking socket; a task writes what could not be written at once."""
+    """A client session on a non-blocking socket; a task completes writes that would have blocked."""
 
     def __init__(
         self,
@@ -41,8 +41,8 @@
     ) -> None:
         """Wraps an accepted socket.
 
-        `stall_duration` returns for how many milliseconds input may have waited because the process stalled;
-        `accept_delay` is the time in milliseconds that the connection waited to be accepted.
+        `stall_duration` returns the milliseconds for which input may have waited because the process stalled;
+        `accept_delay` is the time in milliseconds for which the connection waited to be accepted.
         """
         super().__init__(sock, handler, clock, budget)
         self._sock: socket.socket = sock
@@ -69,15 +69,15 @@
         self._reading.cancel()
 
     def _stop_writing(self) -> None:
-        """Half-closes at once, so that the client knows that what it sends from now on is not processed."""
+        """Half-closes at once, which tells the client that requests sent from now on are not processed."""
         self._writing.cancel()
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_WR)
 
     async def run(self) -> CloseReason | str:
-        """Serves until either side ends it; raises no network error.
+        """Serves the connection until either side closes it; raises no network error.
 
-        Returns the reason, or the text of the error that ended it.
+        Returns why the connection ended: a `CloseReason` or the text of an error.
         """
         reason: CloseReason | str = CloseReason.CLOSED_LOCALLY
         with self._scope:
@@ -97,7 +97,7 @@
         return CloseReason.WRITE_TIMEOUT if self._client_stalled else reason
 
     async def _linger(self) -> None:
-        """Reads and discards input, because closing with unread bytes resets the socket, losing responses."""
+        """Reads and discards input: closing with unread bytes would reset the socket and lose responses."""
         discarded, remaining = bytearray(WRITE_SIZE), MAX_LINGER_BYTES
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_WR)
@@ -134,7 +134,7 @@
     def _receive(self) -> int | None:
         """Reads once and processes the input.
 
-        Returns the number of bytes, 0 at the end of the stream, None if there is no input now.
+        Returns the number of bytes read, 0 at the end of the stream, or None if no input is available.
         """
         with self._buffer.writable_view() as view:
             capacity = len(view)
@@ -157,7 +157,7 @@
         return count
 
     def _record_unread_time(self, more: bool) -> None:
-        """Records how long the last input may have waited to be read; `more`: there may be more to read."""
+        """Records how long the last input may have waited; `more` is set if more may be left to read."""
         received_ago = last_received_ago(self._sock)
         max_age = max(received_ago or 0.0, self._stall_duration())
         since_accepted = self._clock() - self._accepted_at
@@ -167,7 +167,7 @@
         self._last_unread_time = max_age if more or received_ago is None else received_ago
 
     def poll_input(self) -> None:
-        """Reads the available input; the reading task sees the end of the stream and errors by itself."""
+        """Reads the available input; the reading task handles the end of the stream and errors itself."""
         if self._receiving or self._reading.cancel_called:
             return
         try:
@@ -191,7 +191,7 @@
         with self._writing:
             while True:
                 await self._write_wanted.wait()
-                # Limited because a client that reads nothing would keep responses in memory indefinitely.
+                # Without a limit, a client that reads nothing would keep its responses in memory forever.
                 with trio.move_on_after(WRITE_TIMEOUT) as write_timeout:
                     await trio.lowlevel.wait_writable(self._sock)
                 if write_timeout.cancelled_caught:
--- a/edge_router/transport/client_session.py
+++ b/edge_router/transport/client_session.py
@@ -1,7 +1,9 @@
-"""The state machine of one client connection, without I/O: requests in, responses out in turns.
+"""The state machine of one client connection, without I/O.
+
+Decodes requests, and interleaves the records of the responses so that a long one does not delay the others.
 
 A subclass does the I/O: it reports events (`on_received`, `on_writable`, `on_closed`) and implements
-`_on_write_blocked`, `_stop_reading`, `_stop_writing` and `close`. `ClientConnection` does so with trio.
+`_on_write_blocked`, `_stop_reading`, `_stop_writing` and `close`. `ClientConnection` is such a subclass.
 """
 
 from __future__ import annotations
@@ -28,9 +30,9 @@
 
 MAX_BUFFERED_BYTES = 2 * (65_536 + 256 + 8)  # two FastCGI records of the largest size
 MAX_CONTROL_RECORDS = 1000  # management and end records that wait to be written
-MAX_CONSECUTIVE_REJECTIONS = 20  # requests; one more closes the connection
-RECEIVE_TIMEOUT = 2000.0  # ms to complete a record or request; a bad client has to be answered within 3 s
-WRITE_SIZE = 65_536  # bytes passed to one send(2), about
+MAX_CONSECUTIVE_REJECTIONS = 20  # rejected requests in a row; one more closes the connection
+RECEIVE_TIMEOUT = 2000.0  # ms to complete a record or request; clients must get an error within 3 s
+WRITE_SIZE = 65_536  # approximate bytes for one send(2)
 
 
 class RequestHandler(Protocol):
@@ -44,20 +46,20 @@
         body: bytes,
         invalid: InvalidRequest | None,
     ) -> bool:
-        """A request is complete, or `invalid` says what is wrong with it; needs one response or end record.
+        """Handles a complete request, or an invalid one, of which `invalid` says what is wrong.
 
-        Returns whether the request was acceptable.
+        Each request needs exactly one response or end record. Returns whether the request was acceptable.
         """
 
     def on_aborted(self, connection: ClientSession, request_id: int) -> None:
-        """The client aborted this request."""
+        """Handles an abort of this request by the client."""
 
     def on_disconnected(self, connection: ClientSession, request_id: int) -> None:
-        """The client closed the connection, or its half of it, while this request was open."""
+        """Handles a close or half-close of the connection by the client while this request was open."""
 
 
 class ClientSession:
-    """One client connection: decodes requests, and interleaves the records of responses."""
+    """One client connection, from its acceptance until all its requests are answered or it breaks."""
 
     def __init__(
         self, sock: Socket, handler: RequestHandler, clock: Callable[[], float], budget: MemoryBudget
@@ -68,27 +70,27 @@
         self._budget = budget
         self._decoder = FastCgiDecoder(budget, clock)
         self._buffer = ReceiveBuffer(MAX_BUFFERED_BYTES)
-        self._close_reason: CloseReason | str | None = None  # set once it takes no more requests
-        self._partial_since: float | None = clock()  # when the record began that is not complete
-        self.silent = True  # no byte was received so far
-        self.time_unread = 0.0  # ms for which the request being handled may have waited to be read
-        self._max_unread_time = 0.0  # ms, of any input of the last read
-        self._last_unread_time = 0.0  # ms, of the end of that input
+        self._close_reason: CloseReason | str | None = None  # set once new requests are rejected
+        self._partial_since: float | None = clock()  # ms; start of the incomplete record
+        self.silent = True  # until the first byte is received
+        self.time_unread = 0.0  # ms for which the current request may have waited to be read
+        self._max_unread_time = 0.0  # ms, upper bound for all input of the last read
+        self._last_unread_time = 0.0  # ms, for the end of that input
         self._control_records: deque[bytes] = deque()
         self._responses: deque[tuple[int, deque[bytes]]] = deque()
         self._unsent_bytes = 0  # bytes of `_responses`, reserved in the memory budget
-        self._partial_write = memoryview(b"")  # the rest of the last write
+        self._partial_write = memoryview(b"")  # the unwritten rest of the last write
         self._write_blocked = False  # until `on_writable`
-        self._client_stalled = False  # it does not read its responses
+        self._client_stalled = False  # the client does not read its responses
         self.last_used = clock()
 
-    # -- implemented by the subclass that does the I/O --
+    # Implemented by the subclass that does the I/O.
 
     def close(self) -> None:
         """Closes the connection at once."""
 
     def _on_write_blocked(self) -> None:
-        """The socket buffer is full: `on_writable` is to be called once it has space."""
+        """Arranges a call of `on_writable` once the full socket buffer has space again."""
 
     def _stop_reading(self) -> None:
         """Stops reading."""
@@ -96,36 +98,36 @@
     def _stop_writing(self) -> None:
         """Stops writing."""
 
-    # -- called by the subclass that does the I/O --
+    # Called by the subclass that does the I/O.
 
     def on_received(self) -> None:
-        """Processes new bytes in the buffer; raises FastCgiError if they are malformed."""
+        """Processes new bytes in the buffer; raises FastCgiError if they break the protocol."""
         self.silent = False
         now = self.last_used = self._clock()
         buffered_before = len(self._buffer)
         for event in self._decoder.decode_events(self._buffer):
             if isinstance(event, RequestComplete) and self._close_reason:
-                self._reject(event.ident)
+                self._reject(event.request_id)
             elif isinstance(event, RequestComplete):
                 self._dispatch_request(event)
             elif isinstance(event, RequestAborted):
-                self._handler.on_aborted(self, event.ident)
+                self._handler.on_aborted(self, event.request_id)
             else:
                 self._send_control_record(event.data)
         if not len(self._buffer):
             self._partial_since = None
         elif len(self._buffer) < buffered_before or self._partial_since is None:
             self._partial_since = now
-        if self._decoder.rejected_in_a_row > MAX_CONSECUTIVE_REJECTIONS:
+        if self._decoder.consecutive_rejections > MAX_CONSECUTIVE_REJECTIONS:
             self._start_closing(CloseReason.TOO_MANY_REJECTED)
 
     def on_writable(self) -> None:
-        """Continues writing, as the socket buffer has space again."""
+        """Continues writing after the socket buffer was full."""
         self._write_blocked = False
-        self._pump()
+        self._flush()
 
     def on_closed(self) -> None:
-        """Releases everything; to be called exactly once, last."""
+        """Releases all memory and reports open requests as disconnected; must be the last call, made once."""
         self._decoder.close()
         self._notify_disconnected()
         self._budget.release(self._unsent_bytes)
@@ -136,22 +138,22 @@
         for request_id in sorted(self._decoder.open_ids):
             self._handler.on_disconnected(self, request_id)
 
-    # -- public interface --
+    # Called by the owner of the connection and by the request handler.
 
-    def is_quiet(self) -> bool:
-        """Whether no complete request is open, and nothing waits to be written."""
+    def is_fully_answered(self) -> bool:
+        """Whether every complete request is answered and nothing is left to write."""
         return not (
             self._decoder.complete_count() or self._control_records or self._responses or self._partial_write
         )
 
     def is_idle(self) -> bool:
-        """Whether it is quiet and no incomplete request or record was received either."""
-        return self.is_quiet() and not self._decoder.partial_count() and self._partial_since is None
+        """Whether it is fully answered and has no incomplete request or record either."""
+        return self.is_fully_answered() and not self._decoder.partial_count() and self._partial_since is None
 
     def check_timeouts(self, now: float) -> None:
-        """Ends requests and connections that are incomplete for `RECEIVE_TIMEOUT`; `now` in milliseconds.
+        """Ends requests, and closes connections, that stay incomplete for `RECEIVE_TIMEOUT`; `now` is in ms.
 
-        Clients that connect and send nothing, or never complete a request, would keep their place otherwise.
+        Otherwise clients that send nothing, or never complete a request, would occupy connection slots.
         """
         if (
             self._partial_since is not None
@@ -167,18 +169,18 @@
     def _start_closing(self, reason: CloseReason | str) -> None:
         """Rejects new requests, and closes the connection once all open requests are answered.
 
-        It is read until then, because requests that the client aborts need no further attempts.
+        Input is read until then, as a request that the client aborts needs no further attempts.
         """
         if not self._close_reason:
             self._close_reason, self.last_used = reason, self._clock()
-        self._pump()
+        self._flush()
 
     def is_closing(self) -> bool:
         """Whether the connection is being closed and rejects new requests."""
         return bool(self._close_reason)
 
     def close_if_idle(self, reason: CloseReason) -> None:
-        """Closes an idle connection, unless input has arrived that was not read yet."""
+        """Starts to close an idle connection, unless unread input has arrived."""
         if not self._close_reason and (self.is_idle() or self.silent) and not self._has_unread_input():
             self._start_closing(reason)
 
@@ -186,7 +188,7 @@
         """Processes input that has arrived, such as an abort; called right before an attempt is sent."""
 
     def _has_unread_input(self) -> bool:
-        """Whether the socket has input that was not read yet."""
+        """Whether the socket has unread input."""
         try:
             return bool(self._sock.recv(1, socket.MSG_PEEK))
         except OSError:
@@ -204,7 +206,7 @@
         self._unsent_bytes += size
         self._budget.reserve(size)
         self._responses.append((request_id, records))
-        self._pump()
+        self._flush()
 
     def end_request(self, request_id: int, status: int) -> None:
         """Ends a request without a response."""
@@ -216,24 +218,27 @@
     def _send_control_record(self, data: bytes) -> None:
         """Queues a management or end record.
 
-        Closes the connection at `MAX_CONTROL_RECORDS`, because the client sends but does not read.
+        Closes the connection if `MAX_CONTROL_RECORDS` are queued: the client sends but does not read.
         """
         if len(self._control_records) >= MAX_CONTROL_RECORDS:
             self._client_stalled = True
             self.close()
         self._control_records.append(data)
-        self._pump()
+        self._flush()
 
     def _dispatch_request(self, event: RequestComplete) -> None:
-        """Passes a request to the handler, and counts rejections in a row, as some clients resend at once."""
+        """Passes a request to the handler and counts consecutive rejections.
+
+        They are limited because some clients resend a rejected request at once.
+        """
         self.time_unread = self._max_unread_time if len(self._buffer) else self._last_unread_time
         if self._handler.on_request(self, *event):
-            self._decoder.rejected_in_a_row = 0
+            self._decoder.consecutive_rejections = 0
         else:
-            self._decoder.rejected_in_a_row += 1
+            self._decoder.consecutive_rejections += 1
 
     def _next_write(self) -> bytes:
-        """Returns the next bytes to write: control records, then one record of each response in turn."""
+        """Returns the next bytes to write: control records first, then records of the responses in turn."""
         parts: list[bytes] = []
         size = 0
         while size < WRITE_SIZE and (self._control_records or self._responses):
@@ -252,8 +257,11 @@
             size += len(part)
         return b"".join(parts)
 
-    def _pump(self) -> None:
-        """Writes until the socket buffer is full; stops reading and writing once nothing is left to do."""
+    def _flush(self) -> None:
+        """Writes until the socket buffer is full.
+
+        Stops reading and writing once everything is written and the connection need not stay open.
+        """
         while not self._write_blocked:
             if not self._partial_write and not (data := self._next_write()):
                 keep_open = (
--- a/edge_router/transport/close_reason.py
+++ b/edge_router/transport/close_reason.py
@@ -1,4 +1,4 @@
-"""Why a connection was closed, in the words that the log shows."""
+"""Reasons for closing a connection, as the log shows them."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class CloseReason(StrEnum):
-    """A reason that is known beforehand; where an error ends a connection, its text is the reason."""
+    """Why a connection was closed; after an error, the text of the error stands in its place."""
 
     CLIENT_CLOSED = "closed by the client"
     SERVER_CLOSED = "closed by the server"
-    CLOSED_LOCALLY = "closed by us"
-    SHUTDOWN = "stopping"
-    EVICTED = "room for others"
-    IDLE_TIMEOUT = "idle for long"
-    NOTHING_RECEIVED = "says nothing"
-    INCOMPLETE_RECORD = "a record is not whole in time"
-    TOO_MANY_REJECTED = "turned away too often"
-    WRITE_TIMEOUT = "the client takes in nothing"
-    CONNECT_TIMEOUT = "not up in time"
+    CLOSED_LOCALLY = "closed by the router"
+    SHUTDOWN = "shutting down"
+    EVICTED = "evicted to free a connection slot"
+    IDLE_TIMEOUT = "idle timeout"
+    NOTHING_RECEIVED = "no data received in time"
+    INCOMPLETE_RECORD = "incomplete record at the receive timeout"
+    TOO_MANY_REJECTED = "too many consecutive rejected requests"
+    WRITE_TIMEOUT = "the client does not read its responses"
+    CONNECT_TIMEOUT = "connect timeout expired"
--- a/edge_router/transport/receive_age.py
+++ b/edge_router/transport/receive_age.py
@@ -1,8 +1,8 @@
-"""How long received bytes have waited to be read, by the kernel's TCP information.
+"""Measures how long received bytes waited to be read, from the kernel's TCP_INFO.
 
 A client's deadline counts from when it sent its request. Input that arrived while the event loop was busy,
-the process stalled, or the connection waited to be accepted, is older than its read. The kernel gives the
-time of the last bytes only; for earlier ones `Timers.stall_duration` is the upper bound.
+the process stalled, or the connection waited to be accepted, is older than its read. The kernel reports the
+arrival time of the last bytes only; for earlier bytes `Timers.stall_duration` is the upper bound.
 """
 
 from __future__ import annotations
@@ -23,10 +23,10 @@
 
 
 def last_received_ago(sock: socket.socket) -> float | None:
-    """Milliseconds since the kernel received the last bytes of a connection; None if unavailable."""
+    """Returns the milliseconds since the kernel received a connection's last bytes; None if unavailable."""
     return _read_tcp_info(sock, _LAST_RECEIVED)
 
 
 def age_at_accept(sock: socket.socket) -> float:
-    """Milliseconds since a connection was established on which nothing was sent yet; 0 if unavailable."""
+    """Returns the ms since a connection was established, if nothing was sent on it yet; 0 if unavailable."""
     return _read_tcp_info(sock, _LAST_SENT) or 0.0
--- a/edge_router/transport/upstream_channel.py
+++ b/edge_router/transport/upstream_channel.py
@@ -1,7 +1,9 @@
-"""The state machine of one connection to a server, without I/O: connecting, connected, closed.
+"""The state machine of one connection to an upstream server (a cache), without I/O.
+
+A channel is connecting, then connected, then closed.
 
 A subclass does the I/O: it reports events (`on_connected`, `on_received`, `on_writable`, `on_connect_failed`,
-`on_closed`) and implements `_on_write_blocked` and `_stop`. `TrioUpstreamChannel` does so with trio.
+`on_closed`) and implements `_on_write_blocked` and `_stop`. `TrioUpstreamChannel` is such a subclass.
 """
 
 from __future__ import annotations
@@ -18,39 +20,42 @@
 
 
 class Socket(Protocol):
-    """The methods of a non-blocking socket that are used here."""
+    """The methods of a non-blocking socket that channels and client sessions use."""
 
     def send(self, data: bytes | memoryview, /) -> int:
-        """Writes as much as fits; raises BlockingIOError if nothing does, OSError on a failure."""
+        """Writes as much as fits and returns its size.
+
+        Raises BlockingIOError if nothing fits, another OSError on a failure.
+        """
 
     def recv(self, count: int, flags: int, /) -> bytes:
-        """Reads up to `count` bytes; empty at the end of the stream."""
+        """Reads up to `count` bytes; returns none at the end of the stream."""
 
 
 class OutgoingCommand(Protocol):
-    """A queued command, which decides right before it is written whether it is still to be sent."""
+    """A queued command that decides right before it is written whether it is still to be sent."""
 
     def encode(self) -> bytes | None:
-        """Called right before the first byte is written; None drops the command."""
+        """Called right before the first byte is written; returns the bytes, or None to drop the command."""
 
     def on_not_written(self) -> None:
-        """No byte was written; the command is queued again and will be encoded anew."""
+        """Called if no byte could be written; the command is queued again and encoded once more later."""
 
 
 class ChannelOwner(Protocol):
     """Receives the events of a connection."""
 
     def on_message(self, connection: UpstreamChannel, array: list[bytes]) -> None:
-        """A RESP array was received; raises RespError if it is malformed, which closes the connection."""
+        """Handles a RESP array; raises RespError if it is malformed, which closes the connection."""
 
     def on_channel_closed(self, connection: UpstreamChannel, reason: str) -> None:
-        """The connection has closed, or was never established. Called once."""
+        """Called once, when the connection has closed or could not be established."""
 
 
 class UpstreamChannel:
     """One connection to a server, from connecting to closed.
 
-    Commands are written at once as far as the socket accepts them, the rest once it is writable.
+    Commands are written immediately as far as the socket accepts them, the rest once it is writable.
     """
 
     def __init__(self, owner: ChannelOwner, clock: Callable[[], float]) -> None:
@@ -58,45 +63,45 @@
         self._clock = clock
         self._sock: Socket
         self._queue: deque[OutgoingCommand] = deque()
-        self._partial_write = b""  # the rest of the command being written
-        self._pumping = False
+        self._partial_write = b""  # the unwritten rest of the current command
+        self._flushing = False
         self._write_blocked = False  # until `on_writable`
         self._close_reason: CloseReason | str = CloseReason.CLOSED_LOCALLY
         self.buffer = ReceiveBuffer(MAX_BULK_SIZE + 4096)
         self.decoder = RespDecoder()
-        self.local_shortage = False  # this host had no descriptor or memory for it
-        self.connected = False  # it was established at some time, or reset by the peer
+        self.local_shortage = False  # this host lacked a descriptor, memory, a port or a route for it
+        self.connected = False  # it was established, or reset by the peer while connecting
         self.closed = False
-        self.partial_since: float | None = None  # when the last byte of an incomplete response came in
+        self.partial_since: float | None = None  # ms; arrival of the last bytes of an incomplete response
 
-    # -- public interface --
+    # Called by the owner.
 
     def send(self, command: OutgoingCommand) -> None:
         """Queues a command."""
         self._queue.append(command)
         if self.connected and not self._write_blocked:
-            self._pump()
+            self._flush()
 
     def close(self) -> None:
-        """Closes the connection and drops its queue; the owner's `on_channel_closed` follows later."""
+        """Closes the connection and drops its queue; the owner gets `on_channel_closed` later."""
         self.closed = True
         self._stop()
 
-    # -- implemented by the subclass that does the I/O --
+    # Implemented by the subclass that does the I/O.
 
     def _on_write_blocked(self) -> None:
-        """The socket buffer is full: `on_writable` is to be called once it has space."""
+        """Arranges a call of `on_writable` once the full socket buffer has space again."""
 
     def _stop(self) -> None:
-        """Stops the I/O; `on_closed` is to be called then."""
+        """Stops the I/O, after which the subclass calls `on_closed`."""
 
-    # -- called by the subclass that does the I/O --
+    # Called by the subclass that does the I/O.
 
     def on_connected(self, sock: Socket) -> None:
-        """The connection is established; queued commands are written."""
+        """Writes the queued commands on the connection that was just established."""
         self._sock = sock
         self.connected = True
-        self._pump()
+        self._flush()
 
     def on_received(self) -> None:
         """Processes new bytes in the buffer; raises RespError if they are malformed."""
@@ -105,43 +110,44 @@
         self.partial_since = self._clock() if self.decoder.is_partial() or len(self.buffer) else None
 
     def on_writable(self) -> None:
-        """Continues writing, as the socket buffer has space again."""
+        """Continues writing after the socket buffer was full."""
         self._write_blocked = False
-        self._pump()
+        self._flush()
 
     def on_connect_failed(self, error: OSError) -> None:
-        """Connecting or setting up failed; a reset counts as connected, as it shows that the host is up."""
+        """Records that connecting failed; a reset counts as connected, as it shows that the host is up."""
         self._close_reason = str(error) or type(error).__name__
         self.connected = self.connected or isinstance(error, ConnectionResetError)
 
     def on_closed(self, reason: CloseReason | str | None = None) -> None:
-        """Reports the end to the owner; to be called exactly once, last.
+        """Reports the end to the owner; must be the last call, made once.
 
-        The owner is dropped because a reference cycle would keep the closed connection's buffers in memory.
+        The reference to the owner is dropped, as the cycle would keep the connection's buffers in memory.
         """
         self.closed = True
         self._owner.on_channel_closed(self, reason or self._close_reason)
         del self._owner
 
-    # -- writing --
-
-    def _pump(self) -> None:
+    def _flush(self) -> None:
         """Writes until the socket buffer is full.
 
-        Each command is encoded only when its turn comes, and again if none of its bytes could be written,
-        because whether it is still to be sent can change while it waits.
+        Each command is encoded only right before it is written, and again if none of its bytes could be
+        written, because it may have to be dropped after events that happened while it waited.
         """
-        if self._pumping:  # encoding a command may queue the next one
+        if self._flushing:  # encoding a command may queue the next one
             return
-        self._pumping = True
+        self._flushing = True
         try:
             while (self._partial_write or self._queue) and not self.closed and not self._write_blocked:
                 self._write_next()
         finally:
-            self._pumping = False
+            self._flushing = False
 
     def _closed_by_server(self) -> bool:
-        """Whether the server has closed the connection, which may not have been read yet; closes it then."""
+        """Whether the server has closed the connection; if so, closes this side too.
+
+        Looks at the socket itself, as the end of the stream may not have been read yet.
+        """
         try:
             closed = not self._sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -168,7 +174,9 @@
         except BlockingIOError:
             pass
         except OSError as error:
-            if not is_local_shortage(error):  # after a shortage it is written once the socket is writable
+            if not is_local_shortage(
+                error
+            ):  # after a local shortage, writing continues once the socket is writable
                 self._close_reason = str(error)
                 self.close()
         if sent or command is None:
--- a/edge_router/transport/upstream_connection.py
+++ b/edge_router/transport/upstream_connection.py
@@ -1,4 +1,4 @@
-"""A connection to a server over trio: the I/O of an `UpstreamChannel`."""
+"""The I/O of an `UpstreamChannel` with trio."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from edge_router.transport.close_reason import CloseReason
 from edge_router.transport.upstream_channel import ChannelOwner, UpstreamChannel
 
-SHORTAGE_RETRY_DELAY = 0.01  # seconds to the next attempt to connect after a local shortage
+SHORTAGE_RETRY_DELAY = 0.01  # seconds before connecting again after a local shortage
 
 
 class TrioUpstreamChannel(UpstreamChannel):
-    """A channel on a non-blocking socket; a task writes what could not be written at once."""
+    """A channel on a non-blocking socket; a task completes writes that would have blocked."""
 
     def __init__(
         self,
@@ -52,9 +52,9 @@
             self.on_closed(reason)
 
     async def _run_with_retries(self) -> CloseReason | str:
-        """Connects, again after a short local shortage, and serves the connection; returns why it ended.
+        """Connects, again after a local shortage, and serves the connection; returns why it ended.
 
-        Retried here because the server is not at fault, and the router's attempts would all fail at once.
+        Retried here because the server is not at fault, and all attempts of a request would fail at once.
         """
         deadline = trio.current_time() + self._connect_timeout
         while True:
