--- a/edge_router/decision/copy_tracker.py
+++ b/edge_router/decision/copy_tracker.py
@@ -22,7 +22,10 @@
         self.last_used: dict[tuple[int, int, EndpointId], float] = {}  # by object, segment and cache
 
     def record(self, now: float, request: RequestReceived, cache_id: EndpointId) -> None:
-        """Records that the cache sent or cached the object; drops up to two copies that are too old."""
+        """Records that the cache sent or cached the object.
+
+        Drops up to two of the least recently used copies if their lifetime is over or the table is full.
+        """
         copy = (request.object_key, request.segment, cache_id)
         self.last_used.pop(copy, None)
         self.last_used[copy] = now
@@ -33,7 +36,10 @@
             del self.last_used[oldest]
 
     def has_copy(self, now: float, request: RequestReceived, cache: Endpoint) -> bool:
-        """Whether the cache probably holds a copy that is newer than its own start and the last purge."""
+        """Whether the cache probably holds a copy.
+
+        So it does if it has used one within the lifetime, since the cache's start and since the last purge.
+        """
         used_at = self.last_used.get((request.object_key, request.segment, cache.endpoint_id))
         if used_at is None:
             return False
--- a/edge_router/decision/pending_request.py
+++ b/edge_router/decision/pending_request.py
@@ -28,7 +28,7 @@
     source_load: LinkLoad
     concurrent_fills: int = 0  # this router's fills on the zone link when it was sent, including it
     concurrent_attempts: int = 0  # this router's attempts at the cache when it was sent, including it
-    pending: bool = True
+    in_flight: bool = True  # until it ends
     may_have_run: bool = True
     overdue: bool = False
 
@@ -60,6 +60,6 @@
         first = self.first_possible_run()
         return rules.repeat_until(self.settings, first.sent_at if first else None)
 
-    def pending_attempts(self) -> int:
+    def in_flight_attempts(self) -> int:
         """The number of attempts that have not ended."""
-        return sum(attempt.pending for attempt in self.attempts)
+        return sum(attempt.in_flight for attempt in self.attempts)
--- a/edge_router/decision/policy.py
+++ b/edge_router/decision/policy.py
@@ -6,7 +6,7 @@
 overload and purges. A policy sees only the traffic of its own router. Times are milliseconds of the router's
 clock.
 
-Source: the operators' page `DESIGN-robinbeam.md`.
+Sources: the operators' pages `DESIGN-robinbeam.md` and `WIRE-robinbeam.md`, section "Invariants" (rule 4).
 """
 
 from __future__ import annotations
@@ -56,7 +56,9 @@
 OVERDUE_EXPECTED_FACTOR = 1.5  # multiple of the duration expected at the present load; not overdue before
 MAX_HEDGING_SLOWDOWN = 1.5  # at this slowdown of its links an available cache causes no hedged request
 MIN_SILENCE_FACTOR = 3.0  # multiple of the connect timeout; silence counts as a cache failure after it
-MAX_ORIGIN_SLOWDOWN = 1.25  # fetches sent to the origin for each that it answers; the others avoid it
+# Limit of the fetches sent to the origin for each that it answers; requests above it, chosen at random, avoid
+# the origin.
+MAX_ORIGIN_FETCHES_PER_ANSWER = 1.25
 MEAN_WORK_SAMPLES = 1000.0  # requests
 TIMER_TOLERANCE = 0.001  # milliseconds by which a timer may fire early
 NEVER_REACHED_A_CACHE = frozenset((Outcome.CONNECT_FAILED, Outcome.NOT_SENT))
@@ -147,22 +149,23 @@
         if not self._try_candidates(now, pending):
             self._give_up(pending)
 
-    def _try_candidates(self, now: float, pending: PendingRequest, cached_only: bool = False) -> bool:
+    def _try_candidates(self, now: float, pending: PendingRequest, no_fill: bool = False) -> bool:
         """Sends the request to the first cache and source that may take it; False if there is none.
 
-        While the zone's link is congested, the request goes to one cache only, which must not fill. While
-        the origin is overloaded, a random part of the requests avoids it.
+        With `no_fill`, or while the zone's link is congested, a cacheable request must be answered from the
+        cache's copy. While the origin is overloaded, a random part of the cacheable requests avoids it. In
+        both cases no other cache is tried after a miss.
         """
         cacheable = not pending.settings.uncacheable
         pending.avoids_origin = cacheable and (
-            self._random.random() * self.loads.origin.slowdown(now) > MAX_ORIGIN_SLOWDOWN
+            self._random.random() * self.loads.origin.slowdown(now) > MAX_ORIGIN_FETCHES_PER_ANSWER
         )
-        cached_only = cacheable and (cached_only or self.loads.check_zone_link_congestion(now, pending))
-        if pending.missed and (cached_only or pending.avoids_origin):
-            pending.rejection_reason = RejectionReason.LINK if cached_only else RejectionReason.ORIGIN
+        no_fill = cacheable and (no_fill or self.loads.check_zone_link_congestion(now, pending))
+        if pending.missed and (no_fill or pending.avoids_origin):
+            pending.rejection_reason = RejectionReason.LINK if no_fill else RejectionReason.ORIGIN
             return False
         for cache_id in self.candidates.caches(now, pending):
-            sources = (cache_id,) if cached_only else self.candidates.sources(now, pending, cache_id)
+            sources = (cache_id,) if no_fill else self.candidates.sources(now, pending, cache_id)
             for source_id in sources:
                 if self._try_send(now, pending, cache_id, source_id):
                     return True
@@ -194,7 +197,7 @@
                 pending.deadline,
                 source_id,
                 rank,
-                self._max_copy_age(pending, age_limit),
+                self._acceptable_copy_age(pending, age_limit),
                 self._fill_mode(pending, age_limit),
                 start_before,
             )
@@ -209,7 +212,7 @@
             return False
         if len(pending.attempts) >= self._settings.max_attempts:
             return False
-        if pending.pending_attempts() and not self._settings.hedging_allowed:
+        if pending.in_flight_attempts() and not self._settings.hedging_allowed:
             return False
         first = pending.first_possible_run()
         first_endpoint, first_sent = (first.endpoint_id, first.sent_at) if first else (None, None)
@@ -226,6 +229,8 @@
         self, now: float, pending: PendingRequest, cache: Endpoint, source_id: EndpointId
     ) -> Charge | None:
         """Charges both slow-start budgets; returns the source's charge, None if a budget is used up."""
+        # Rule 4: at a cache each attempt counts as its class's mean work; a parent is charged only for the
+        # fills that come to it, each with the work of its request.
         directory, loads = self.directory, self.loads
         mean_work = self.mean_work[pending.request.class_index].mean
         if not directory.cache_budget.allows(now, cache, mean_work, *loads.transfers_and_share(cache)):
@@ -260,7 +265,7 @@
             loads.for_endpoint(source_id),
         )
 
-    def _max_copy_age(self, pending: PendingRequest, age_limit: float) -> float:
+    def _acceptable_copy_age(self, pending: PendingRequest, age_limit: float) -> float:
         """The maximum age of an acceptable copy in milliseconds; 0 means no limit.
 
         Retries and requests that avoid the origin also accept a copy within its stale lifetime.
@@ -293,27 +298,28 @@
         if pending is None or event.attempt_index >= len(pending.attempts):
             return
         attempt = pending.attempts[event.attempt_index]
-        if not attempt.pending:
+        if not attempt.in_flight:
             return
         self._end_attempt(pending, attempt)
         self.outcomes.record_end(now, pending, attempt, event)
         if event.request_closed or event.outcome is Outcome.OK:
-            if any(earlier.pending for earlier in pending.attempts[: event.attempt_index]):
+            if any(earlier.in_flight for earlier in pending.attempts[: event.attempt_index]):
                 self.retry_budget.refund()
             self._close(pending)
             return
         attempt.may_have_run = event.outcome not in rules.PROVES_NOT_RUN
         pending.missed |= event.outcome is Outcome.MISS
-        if pending.pending_attempts():
+        if pending.in_flight_attempts():
             return
         if not self._retry(now, pending, event.outcome):
             self._give_up(pending)
 
     def _retry(self, now: float, pending: PendingRequest, outcome: Outcome) -> bool:
-        """Sends the request again if its deadline and the retry budget allow it.
+        """Sends the request again; False if its deadline, the retry budget or the rules forbid it.
 
         A retry takes nothing from the budget if the attempt reached no cache, as it adds no load then, or if
-        the first attempt ended with a reset connection.
+        the request's only attempt so far ended with a reset connection: the retry may go to the same cache,
+        which may already hold the object.
         """
         if now >= pending.deadline:
             pending.rejection_reason = RejectionReason.TIME
@@ -329,16 +335,18 @@
         due = [
             attempt
             for attempt in pending.attempts
-            if attempt.pending and not attempt.overdue and now + TIMER_TOLERANCE >= attempt.overdue_at
+            if attempt.in_flight and not attempt.overdue and now + TIMER_TOLERANCE >= attempt.overdue_at
         ]
         for attempt in due:
             self._on_overdue(now, pending, attempt)
 
     def _on_overdue(self, now: float, pending: PendingRequest, attempt: AttemptRecord) -> None:
-        """Records that the attempt got no answer in the expected time, and sends a hedged request.
+        """Handles an attempt that has not ended in the expected time; may send a hedged request.
 
-        A hedged request is sent even if the cache is still available: if only the answer was lost, ejecting
-        the cache would not help, and the cache holds the object by now.
+        A silent cache counts as failed only after a minimum silence; until then a second timer is set. The
+        retry budget, the attempts in flight and the slowdown limit hedged requests. While cache and source
+        are available, a hedged request must be answered from a copy: if only the first attempt's answer was
+        lost, ejecting the cache would not help, and the cache holds the object by now.
         """
         cache_id, loads = attempt.endpoint_id, self.loads
         answered_since = self.directory.cache_outliers[cache_id].last_success >= attempt.sent_at
@@ -354,23 +362,23 @@
             pending.tried_endpoints.discard(cache_id)
         slowdown = max(loads.for_endpoint(cache_id).slowdown(now), loads.zone_link.slowdown(now))
         worthwhile = not available or slowdown < MAX_HEDGING_SLOWDOWN
-        max_pending = 1 if available else 2
-        if pending.pending_attempts() <= max_pending and worthwhile and self.retry_budget.try_spend():
-            self._try_candidates(now, pending, cached_only=available)
+        max_in_flight = 1 if available else 2
+        if pending.in_flight_attempts() <= max_in_flight and worthwhile and self.retry_budget.try_spend():
+            self._try_candidates(now, pending, no_fill=available)
 
     def _on_client_disconnected(self, now: float, event: ClientDisconnected) -> None:
         if pending := self.pending.get(event.request_number):
             self._close(pending)
 
     def _end_attempt(self, pending: PendingRequest, attempt: AttemptRecord) -> None:
-        attempt.pending = False
+        attempt.in_flight = False
         self.loads.end_attempt(pending, attempt)
 
     def _close(self, pending: PendingRequest) -> None:
-        """Removes a request that has its final answer, and cancels its pending attempts."""
+        """Removes a request that has its final answer, and cancels its attempts in flight."""
         del self.pending[pending.request.request_number]
         for index, attempt in enumerate(pending.attempts):
-            if attempt.pending:
+            if attempt.in_flight:
                 self._end_attempt(pending, attempt)
                 if self._settings.cancellation_allowed:
                     self._actions.append(CancelAttempt(pending.request.request_number, index))
--- a/edge_router/decision/popularity.py
+++ b/edge_router/decision/popularity.py
@@ -16,7 +16,8 @@
 MIN_RANKED_REQUESTS = 50  # requests counted before the ranking is used
 RANKING_INTERVAL = 50  # requests between two rankings at least; more with many objects
 MAX_WEIGHT_DOUBLINGS = 30  # all counts are rescaled before the weight exceeds this power of two
-SIZE_AVERAGE_SAMPLES = 16  # requests over which the mean size of an object's segments is taken
+# In the mean size of an object's segments, a new size has the weight 1 / (known segments + 1), at least 1/16.
+SIZE_AVERAGE_SAMPLES = 16
 
 
 @dataclass(slots=True)
@@ -44,7 +45,11 @@
         self._rank_cutoffs = (math.inf, math.inf)
 
     def _request_weight(self, now: float) -> float:
-        """The weight of a request at `now`; it grows with time, which avoids reducing all counts instead."""
+        """The weight of a request at `now`; it grows with time, which avoids reducing all counts instead.
+
+        At the first request, and again after MAX_WEIGHT_DOUBLINGS half-lives, the weight is 1; the earlier
+        counts are rescaled to match.
+        """
         doublings = (now - self._weight_origin) / self._half_life
         if doublings > MAX_WEIGHT_DOUBLINGS or not self._request_count:
             self._rescale(2.0**-doublings if self._request_count else 1.0)
@@ -52,6 +57,10 @@
         return float(2.0**doublings)
 
     def _rescale(self, factor: float) -> None:
+        """Multiplies the counts, their totals and the top set's least count by `factor`.
+
+        The rank cutoffs keep the old scale until the next ranking.
+        """
         for item in self._counts.values():
             item.count *= factor
         self._total_count *= factor
@@ -78,7 +87,10 @@
             self._rank_objects()
 
     def _drop_less_popular_half(self) -> None:
-        """Drops objects but not their requests from the total; else the other shares would be overstated."""
+        """Drops the less popular half of the objects.
+
+        Their requests stay in the total, since the shares of the other objects would be overstated otherwise.
+        """
         by_count = sorted(self._counts, key=lambda key: (-self._counts[key].count, key))
         self._counts = {key: self._counts[key] for key in by_count[: MAX_COUNTED_OBJECTS // 2]}
 
--- a/edge_router/decision/purges.py
+++ b/edge_router/decision/purges.py
@@ -13,13 +13,14 @@
 from edge_router.decision.messages import PurgeReceived
 from edge_router.decision.settings import Settings
 
-PURGE_RETENTION_FACTOR = 1.5  # multiple of the settle time, within which old copies disappear
+# Multiple of the settle time. Old copies should be gone after one settle time; half of one is margin.
+PURGE_RETENTION_FACTOR = 1.5
 MIN_COPY_AGE = 0.001  # milliseconds; an attempt's maximum age of 0 would mean no limit
-WHOLE_OBJECT = -1  # stands for the purge group in the key of an object's purge
+NO_PURGE_GROUP = -1  # takes the place of the purge group in the key of a purge of a single object
 
 
 def purge_retention(settings: Settings) -> float:
-    """The time in milliseconds for which a purge is remembered; after it no older copy is left."""
+    """The time in milliseconds for which a purge is remembered; later no copy older than it is left."""
     return settings.purge_settle_time * PURGE_RETENTION_FACTOR + settings.purge_notice_time
 
 
@@ -34,7 +35,7 @@
 
 
 class RecentPurges:
-    """The purges that were received within the retention time; after it no older copies are left."""
+    """The purges that were received within the retention time; older ones have no effect any more."""
 
     def __init__(self, retention: float) -> None:
         """Remembers purges for `retention` milliseconds."""
@@ -47,7 +48,7 @@
 
         An age beyond the retention time means that a clock is wrong, and counts as 0.
         """
-        key = (event.object_key, WHOLE_OBJECT) if event.object_key else (0, event.purge_group)
+        key = (event.object_key, NO_PURGE_GROUP) if event.object_key else (0, event.purge_group)
         age = event.age if event.age <= self._retention else 0.0
         purged_at = max(now - age, self._purges.get(key, NO_PURGE).purged_at)
         self._purges[key] = PurgeRecord(purged_at, now)
@@ -60,7 +61,7 @@
     def max_copy_age(self, now: float, object_key: int, purge_group: int) -> float:
         """The maximum age of a copy newer than the last purge; infinite without a recent purge."""
         purges = (
-            self._purges.get((object_key, WHOLE_OBJECT), NO_PURGE),
+            self._purges.get((object_key, NO_PURGE_GROUP), NO_PURGE),
             self._purges.get((0, purge_group), NO_PURGE),
         )
         purged_at = max(
--- a/edge_router/decision/retry_budget.py
+++ b/edge_router/decision/retry_budget.py
@@ -23,7 +23,10 @@
         self.tokens = min(self.burst, self.tokens + self.ratio)
 
     def refund(self) -> None:
-        """Returns the token of a hedged request that was needed, as it was answered first."""
+        """Puts back the token of a hedged request that was needed.
+
+        It was needed if the request is over when it ends, and an earlier attempt is still in flight.
+        """
         self.tokens = min(self.burst, self.tokens + 1.0)
 
     def try_spend(self) -> bool:
--- a/edge_router/decision/slow_start.py
+++ b/edge_router/decision/slow_start.py
@@ -1,10 +1,13 @@
 """Slow start: limits the work sent to an endpoint that has started recently and is still warming up.
 
-An endpoint fails if it gets more than a multiple (`tip_multiple`) of its present capacity within a window
-(`overload_for`). Its capacity grows from `cold_from` to 1 in the time `warm_up`. Times are milliseconds.
+An endpoint fails if the work sent to it within `overload_window` exceeds `overload_factor` times the work
+that it can do in that time at its present capacity, which grows from `initial_capacity` to 1 within
+`duration`. Times are milliseconds; work is the time of sending at full bandwidth.
 
 Source: the operators' page `WIRE-robinbeam.md`, sections "Settings" and "Invariants" (rule 4: a recovering
-endpoint is not overloaded).
+endpoint is not overloaded). The keys of these settings are `tip_multiple`, `overload_for`, `cold_from` and
+`warm_up` for caches, `parent_limit_factor`, `overload_for`, `parent_cold_from` and `parent_warms_in` for
+parents.
 """
 
 from __future__ import annotations
@@ -34,7 +37,7 @@
     ) -> None:
         """`initial_capacity` is the part (0 to 1) of its full capacity that an endpoint has when it starts.
 
-        It fails if it gets more than `overload_factor` times its capacity within `overload_window`.
+        It fails if it gets more than `overload_factor` times its capacity within `overload_window` (ms).
         """
         self._initial_capacity = initial_capacity
         self._duration = duration
@@ -43,10 +46,10 @@
         self.charges: dict[EndpointId, deque[Charge]] = {}  # by endpoint in slow start; the oldest first
 
     def available_capacity(self, now: float, started_at: float) -> float:
-        """The part of its full capacity that the endpoint has now at least; 1 once slow start is over.
+        """A lower bound of the part of its full capacity that the endpoint has now; 1 after slow start.
 
-        It is the capacity at the start of the overload window, when it was lowest. An endpoint whose
-        `started_at` is not positive counts as warm.
+        It is the capacity at the start of the overload window that ends now, when it was lowest. An endpoint
+        whose `started_at` is not positive counts as warm.
         """
         age = now - started_at
         if started_at <= 0 or age >= self._duration + self._overload_window:
@@ -57,8 +60,9 @@
     def allows(self, now: float, endpoint: Endpoint, work: float, transfers: float, share: float) -> bool:
         """Whether the budget allows `work` milliseconds of sending at the endpoint now.
 
-        `transfers` is the number of concurrent transfers that the endpoint sustains when warm, `share` this
-        router's part of them (0 to 1).
+        `transfers` is the number of concurrent transfers that the endpoint sustains when warm (less than
+        1 counts as 1), `share` this router's part of them (0 to 1). Only `SAFE_BUDGET_SHARE` of the budget is
+        used. An endpoint at full capacity has no limit.
         """
         available = self.available_capacity(now, endpoint.started_at)
         if available >= 1.0:
--- a/edge_router/model_checker/fingerprint/decision.py
+++ b/edge_router/model_checker/fingerprint/decision.py
@@ -83,7 +83,7 @@
     ),
     AttemptRecord: Fields(
         "endpoint_id source_id sent_at overdue_at fill_expected parent_charge concurrent_attempts "
-        "concurrent_fills pending may_have_run overdue",
+        "concurrent_fills in_flight may_have_run overdue",
         {"cache_load": DERIVED, "source_load": DERIVED},
     ),
     LinkLoad: Fields(
@@ -204,7 +204,7 @@
         rounded(attempt.parent_charge.work),
         attempt.concurrent_attempts,
         attempt.concurrent_fills,
-        attempt.pending,
+        attempt.in_flight,
         attempt.may_have_run,
         attempt.overdue,
     )
--- a/edge_router/model_checker/reach.py
+++ b/edge_router/model_checker/reach.py
@@ -104,7 +104,7 @@
     ),
     (
         "decision/policy.py",
-        "_try_send|_may_send|_charge_slow_start|_new_attempt|_max_copy_age|_fill_mode",
+        "_try_send|_may_send|_charge_slow_start|_new_attempt|_acceptable_copy_age|_fill_mode",
         "slow-start budgets, no hedged requests, stale lifetimes",
     ),
     ("decision/policy.py", "_on_attempt_ended", "late events, which the proxy never sends"),
