--- a/edge_router/model_checker/fingerprint/proxy.py
+++ b/edge_router/model_checker/fingerprint/proxy.py
@@ -58,11 +58,11 @@
             "_random": "always the middle here",
             "_max_retry_after": FIXED,
             "_priority": FIXED,
-            "_max_queue_time": FIXED,
+            "_queue_time_limits": FIXED,
             "_requests": WIRING,
             "_budget": WIRING,
             "_max_requests": FIXED,
-            "_bytes_per_kb": FIXED,
+            "_bytes_per_stated_kb": FIXED,
         },
     ),
     RequestAccounting: Fields(
@@ -126,14 +126,14 @@
     ),
     UpstreamConnection: Fields(
         "endpoint_id address opened_at attempts abandoned_ids answered_ids suspect "
-        "last_received_at last_used_at channel",
+        "last_response_at last_used_at channel",
         {"_owner": WIRING},
     ),
     request_table.RequestTable: Fields(
         "_by_number _by_request_id", {"_last_number": "a request is named by its place"}
     ),
     request_table.ActiveRequest: Fields(
-        "incoming deadline reserved_bytes answered backstop_timer expired attempts",
+        "incoming deadline reserved_bytes answered backstop_timer ended_by_shutdown attempts",
         {"request_number": "a request is named by its place"},
     ),
     request_table.Attempt: Fields(
@@ -204,7 +204,7 @@
         frame.time(request.deadline),
         request.reserved_bytes,
         request.answered,
-        request.expired,
+        request.ended_by_shutdown,
         _alarm(request.backstop_timer),
         tuple(_attempt(attempt, frame) for attempt in request.attempts),
     )
@@ -253,7 +253,7 @@
         tuple(sorted(link.abandoned_ids)),
         tuple(sorted(link.answered_ids)),
         link.suspect,
-        frame.time(link.last_received_at),
+        frame.time(link.last_response_at),
         frame.time(link.last_used_at),
     )
 
--- a/edge_router/proxy/admission.py
+++ b/edge_router/proxy/admission.py
@@ -1,4 +1,8 @@
-"""Admission control: limits the requests and bytes in flight, and sheds load above the CPU share."""
+"""Admission control: limits the requests and bytes in flight, and sheds load above the CPU share.
+
+Source of the stated sizes: the operators' page `PROTOCOL-robinbeam.md`, "Clients to edge routers", field
+X-Working-Set-Kb.
+"""
 
 from __future__ import annotations
 
@@ -13,14 +17,19 @@
 from edge_router.runtime.memory_budget import MemoryBudget
 
 RESPONSE_MARGIN = 15.0  # ms before the client's timeout, so that the response arrives in time
-MIN_TIME_REMAINING = 1.0  # ms that each admitted request has at least until its deadline
+MIN_TIME_REMAINING = 1.0  # ms from admission to the deadline at least, unless a shutdown limits it
 MAX_OPEN_REQUESTS = 4096
 MAX_TIME_IN_MEMORY = 60_000.0  # ms; a request is not kept for longer, even if its client waits for longer
-QUEUE_TIME_RATIO = 0.4  # maximum queue time at the mean priority weight, relative to the latency objective
-MIN_QUEUE_TIME = 20.0  # ms that each request may wait; up to it no request is shed for CPU either
-CPU_DEBT_PER_PRIORITY = 0.02  # seconds of CPU debt tolerated per unit of relative priority above the lowest
-MAX_RELATIVE_PRIORITY = 2.0
-DEFAULT_BYTES_PER_KB = 1000.0
+QUEUE_TIME_RATIO = 0.4  # queue time limit at the mean priority weight, relative to the latency objective
+# ms; lower bound of each class's queue time limit. A request that has waited no longer is never shed.
+MIN_QUEUE_TIME_LIMIT = 20.0
+# Seconds of CPU debt (negative CPU credit) that a class is allowed, per unit by which its relative priority
+# exceeds the lowest of all classes.
+CPU_DEBT_PER_PRIORITY = 0.02
+MAX_RELATIVE_PRIORITY = 2.0  # of a class: its priority weight relative to the mean of all classes
+# Clients state sizes in KB of the simulator. On the socket an object has fewer bytes, in the ratio of
+# `transfer_rate` to `Settings.client_bandwidth`; this is the ratio if one of them is not known.
+DEFAULT_BYTES_PER_STATED_KB = 1000.0
 
 
 class ShedReason(StrEnum):
@@ -50,17 +59,17 @@
         self._priority = [
             min(MAX_RELATIVE_PRIORITY, weight / mean) if mean > 0 else 1.0 for weight in weights
         ]
-        self._max_queue_time = [
-            max(MIN_QUEUE_TIME, QUEUE_TIME_RATIO * priority * class_settings.latency_objective)
+        self._queue_time_limits = [
+            max(MIN_QUEUE_TIME_LIMIT, QUEUE_TIME_RATIO * priority * class_settings.latency_objective)
             for priority, class_settings in zip(self._priority, settings.classes, strict=True)
         ]
         self._requests = requests
         self._budget = budget
         self._max_requests = min(settings.max_in_flight, MAX_OPEN_REQUESTS)
-        self._bytes_per_kb = (
+        self._bytes_per_stated_kb = (
             transfer_rate / settings.client_bandwidth
             if settings.client_bandwidth > 0 and transfer_rate > 0
-            else DEFAULT_BYTES_PER_KB
+            else DEFAULT_BYTES_PER_STATED_KB
         )
         self.latest_deadline = math.inf  # ms of the router's clock; set at shutdown, limits all deadlines
 
@@ -68,7 +77,7 @@
         """Admits a request; None if its timeout has passed or it and its response exceed the capacity."""
         if incoming.time_unread >= incoming.timeout:
             return None
-        response_bytes = min(MAX_OBJECT_BYTES, round(incoming.size_kb * self._bytes_per_kb))
+        response_bytes = min(MAX_OBJECT_BYTES, round(incoming.size_kb * self._bytes_per_stated_kb))
         reserved_bytes = len(incoming.body) + response_bytes
         if len(self._requests) >= self._max_requests or not self._budget.can_reserve(reserved_bytes):
             return None
@@ -78,16 +87,16 @@
         return self._requests.add(incoming, deadline, reserved_bytes)
 
     def shed_reason(self, now: float, received_at: float, class_index: int) -> ShedReason | None:
-        """Returns why a request received at `received_at` must be shed; None if it is to be forwarded.
+        """Returns why a request received at `received_at` (ms) must be shed; None if it is to be forwarded.
 
         Load is shed early and by priority weight, because otherwise all requests would become late
-        together. A request that has waited for at most `MIN_QUEUE_TIME` is never shed: a rejection costs a
-        large part of what a request costs, and the client retries at once.
+        together. A request that has waited for at most `MIN_QUEUE_TIME_LIMIT` is never shed: a rejection
+        costs a large part of what a request costs, and many clients retry at once.
         """
         queue_time = now - received_at
-        if queue_time > self._max_queue_time[class_index]:
+        if queue_time > self._queue_time_limits[class_index]:
             return ShedReason.QUEUE_TIME
-        if queue_time <= MIN_QUEUE_TIME:
+        if queue_time <= MIN_QUEUE_TIME_LIMIT:
             return None
         credit = self.cpu_credit.remaining()
         tolerated_debt = CPU_DEBT_PER_PRIORITY * (self._priority[class_index] - min(self._priority))
--- a/edge_router/proxy/connection_pool.py
+++ b/edge_router/proxy/connection_pool.py
@@ -17,12 +17,14 @@
 # Fraction of the endpoints' idle timeout after which an idle connection is closed. It is closed before the
 # endpoint closes it, because a request that is written to a closing connection would be lost.
 IDLE_FRACTION = 0.6
-MAX_SILENCE_FACTOR = 3.0  # connect timeouts for which a connection that owes responses may send no byte
+# Connect timeouts for which a connection with open attempts may deliver no complete response. After that it
+# takes no further attempt.
+MAX_SILENCE_FACTOR = 3.0
 MIN_CONNECT_TIMEOUT = 100.0  # ms; lower bound of the connect timeout in this calculation
 MAX_CONNECTIONS_PER_ENDPOINT = 16  # several, because a broken connection ends all attempts on it
 SWEEP_INTERVAL = 200.0  # ms
 MAX_PARTIAL_TIME = 400.0  # ms without a byte within a response, after which the connection is closed
-SOCKETS_PER_CONNECTION = 3  # descriptors of the limit, per allowed upstream connection
+SOCKETS_PER_CONNECTION = 3  # one upstream connection is allowed per this many descriptors of the limit
 MIN_CONNECTION_LIMIT = 4
 
 # Opens a channel for an owner to an address; the last argument is the connect timeout in seconds.
@@ -57,16 +59,17 @@
         return sum(map(len, self._connections.values()))
 
     def max_silence(self) -> float:
-        """Return for how long (ms) a connection that owes responses may send no byte."""
+        """Return for how long (ms) a connection with open attempts may deliver no complete response."""
         return MAX_SILENCE_FACTOR * max(self._settings.connect_timeout, MIN_CONNECT_TIMEOUT)
 
     def acquire(
         self, endpoint_id: EndpointId, request_id: str, owner: ConnectionOwner
     ) -> UpstreamConnection | None:
-        """Return an idle connection, else a new one, else the least loaded one that accepts the attempt.
+        """Return an idle connection, else a new one, else the least loaded one; None if there is none.
 
-        Returns None if there is none. Attempts share a connection only as the last choice, because a single
-        malformed response ends all attempts on its connection.
+        An existing connection is returned only if it leads to the endpoint's current address and accepts the
+        attempt. Attempts share a connection only as the last choice, because a single malformed response ends
+        all attempts on its connection.
         """
         now, max_silence = self._clock.now(), self.max_silence()
         address, connections = self._endpoints.address(endpoint_id), self._connections.get(endpoint_id, [])
--- a/edge_router/proxy/dispatcher.py
+++ b/edge_router/proxy/dispatcher.py
@@ -43,7 +43,7 @@
         self._connection_of: dict[Attempt, UpstreamConnection] = {}
 
     def dispatch(self, attempt: Attempt) -> None:
-        """Send an attempt, and end it as timed out at its deadline."""
+        """Queue an attempt, and call `on_attempt_timeout` at its deadline."""
         attempt.timeout_timer = self._timers.call_at(
             attempt.instruction.deadline, partial(self.on_attempt_timeout, attempt)
         )
@@ -77,8 +77,10 @@
     def end_unless_sendable(self, attempt: Attempt) -> bool:
         """End an attempt as not sent unless it may still be sent; return whether it may.
 
-        An attempt is checked once more right before its first byte, because endpoints may drain, requests may
-        end and purges may arrive after the decision. This also holds where the settings forbid cancellation.
+        An attempt is checked when it is queued, after each discovery event, when its client disconnects and
+        right before its first byte. After the policy started it, endpoints may drain, its request may be
+        answered, a purge may arrive, and its deadline or the deduplication window may pass. An unsent attempt
+        is ended even if the settings forbid cancellation.
         """
         if attempt.ended:
             return False
@@ -123,12 +125,15 @@
             request_id = attempt.request.incoming.request_id
             connection.abandoned_ids.append(request_id)
             connection.channel.send(AbortCommand(request_id))
-            silent_for = self._clock.now() - max(attempt.sent_at, connection.last_received_at)
+            silent_for = self._clock.now() - max(attempt.sent_at, connection.last_response_at)
             connection.suspect |= silent_for > self.pool.max_silence()
         self._finish(attempt, outcome)
 
     def on_attempt_timeout(self, attempt: Attempt) -> None:
-        """End an attempt at its deadline: as CONNECT_FAILED (it did not run) if it was never sent."""
+        """End an attempt at its deadline or at shutdown: as TIMEOUT if it was sent, else as CONNECT_FAILED.
+
+        CONNECT_FAILED, which proves that it did not run, is also used if its connection was established.
+        """
         if connection := self._connection_of.get(attempt):
             now = self._clock.now()
             log_rate_limited(
@@ -138,7 +143,7 @@
                 address=":".join(map(str, connection.address)),
                 connected=connection.channel.connected,
                 connection_age_ms=now - connection.opened_at,
-                silent_ms=now - connection.last_received_at,
+                silent_ms=now - connection.last_response_at,
                 sent_ago_ms=-1.0 if attempt.sent_at is None else now - attempt.sent_at,
                 open=len(connection.attempts),
             )
@@ -165,19 +170,21 @@
         attempt = connection.attempts.get(request_id)
         if attempt is None or attempt.sent_at is None:
             if request_id in connection.abandoned_ids:
-                connection.last_received_at = self._clock.now()
+                connection.last_response_at = self._clock.now()
             return
         self._response_handler.validator.check_well_formed(attempt, response)
-        connection.last_received_at = connection.last_used_at = self._clock.now()
+        connection.last_response_at = connection.last_used_at = self._clock.now()
         connection.answered_ids.append(request_id)
         self._detach(attempt)
         self._response_handler.on_response(attempt, response)
 
     def on_connection_lost(self, connection: UpstreamConnection, reason: str) -> None:
-        """Handle the end of a connection: attempts that were sent may have run, the others did not.
+        """Handle the end of a connection: attempts that were sent may have run and end as RESET.
 
-        If the connection had been established, an attempt that was not sent moves to another connection, at
-        most once, because the reset of one connection is weak evidence against the endpoint.
+        If the connection was established or reset, an unsent attempt is queued on another one, at most once,
+        because the loss of one connection is weak evidence against the endpoint; if it cannot be queued, it
+        ends as NOT_SENT. Any other unsent attempt ends as CONNECT_FAILED, or as NOT_SENT if this host lacked
+        a descriptor or memory for the connection.
         """
         self.pool.remove(connection)
         if connection.attempts:
--- a/edge_router/proxy/request_router.py
+++ b/edge_router/proxy/request_router.py
@@ -42,9 +42,9 @@
 from edge_router.runtime.peer_clock import PeerClock
 from edge_router.runtime.timers import Timers, no_wakeup
 
-DECISION_BATCH = 8  # requests that are decided before the sockets are read again
+DECISION_BATCH = 8  # requests that are shed or routed before the sockets are read again
 LOG_REPEAT_INTERVAL = 1000.0  # ms within which the same text of the policy is not logged again
-BACKSTOP_DELAY = 20.0  # ms after its deadline at which a request is answered even without a decision
+BACKSTOP_DELAY = 20.0  # ms after its deadline; a request without a result of the policy is answered then
 
 
 class RequestRouter:
@@ -64,7 +64,7 @@
         """Create and connect the parts of the core.
 
         `transfer_rate` is the bandwidth of one transfer in bytes per second (0: unknown); `connect` opens
-        connections to caches; `wake` is called when a request waits for its decision.
+        connections to caches; `wake` is called when a request waits to be routed.
         """
         self._settings = settings
         self._clock, self._timers = clock, timers
@@ -100,7 +100,7 @@
         self._logged_at: dict[str, float] = {}  # when each text of the policy was last logged
 
     def on_request(self, incoming: IncomingRequest) -> ActiveRequest | None:
-        """Admit a request and queue it for its decision; None if it was rejected and thereby answered."""
+        """Admit a request and queue it for routing; None if it was rejected and thereby answered."""
         now = self._clock.now()
         request = self.admission.admit(now, incoming)
         if request is None:
@@ -116,7 +116,7 @@
         return request
 
     def run_decisions(self) -> bool:
-        """Decide a batch of requests; return whether more are waiting.
+        """Shed or route a batch of requests; return whether more are waiting.
 
         Sockets are read between batches, so that a burst of requests does not delay responses. The time for
         which a request waits here shows whether the router is overloaded.
@@ -164,8 +164,8 @@
                 if attempt.sent_at is None:
                     self.dispatcher.end_unless_sendable(attempt)
 
-    def response_without_decision(self, request: ActiveRequest) -> FinalResponse:
-        """Return the response to a request without a decision: rejected if a retry is safe, else failed."""
+    def fallback_response(self, request: ActiveRequest) -> FinalResponse:
+        """Return a response without asking the routing policy: rejected if a retry is safe, else failed."""
         may_have_run = any(attempt.may_have_run() for attempt in request.attempts)
         if rules.may_reject(self._settings.classes[request.incoming.class_index], may_have_run):
             return FinalResponse(ResponseStatus.REJECTED, retry_after=self.admission.retry_after())
@@ -218,7 +218,7 @@
         instruction = action._replace(deadline=deadline)
         attempt = Attempt(request, len(request.attempts), instruction, self._clock.now())
         request.attempts.append(attempt)
-        if request.expired:
+        if request.ended_by_shutdown:
             self.accounting.attempt_ended(attempt, Outcome.NOT_SENT)
         else:
             self.dispatcher.dispatch(attempt)
@@ -263,7 +263,7 @@
             log("routing", text=action.text)
 
     def _on_backstop(self, request: ActiveRequest) -> None:
-        """Answer a request that is still unanswered after its deadline, and end its attempts."""
+        """Answer a request that is unanswered after its deadline or at shutdown, and end its attempts."""
         if not request.answered:
             if request.attempts:
                 log("backstop-timeout", request=request.incoming.request_id)
@@ -272,9 +272,10 @@
                 log_rate_limited(
                     "request-rejected",
                     request=request.incoming.request_id,
-                    reason="its deadline passed before its decision",
+                    reason="its deadline passed before it was routed",
                 )
-            self.response_handler.respond(request, self.response_without_decision(request))
+            self.response_handler.respond(request, self.fallback_response(request))
+            # Makes the policy drop the request; the client has not in fact disconnected.
             self.post(ClientDisconnected(request.request_number))
         for attempt in request.attempts:
             if not attempt.ended:
@@ -283,7 +284,7 @@
     def expire_all(self) -> None:
         """End all open requests and their attempts, because the router is about to stop."""
         for request in self.requests:
-            request.expired = True
+            request.ended_by_shutdown = True
             for attempt in list(request.attempts):
                 if not attempt.ended:
                     self.dispatcher.on_attempt_timeout(attempt)
--- a/edge_router/proxy/request_table.py
+++ b/edge_router/proxy/request_table.py
@@ -30,7 +30,10 @@
 
     @property
     def started_at(self) -> float:
-        """Return when it was sent or, if it was not sent, when it was created."""
+        """Return when it was sent or, if it was not sent, when it was created.
+
+        Not related to `Endpoint.started_at`, which is the start of the endpoint's process.
+        """
         return self.created_at if self.sent_at is None else self.sent_at
 
     def may_have_run(self) -> bool:
@@ -48,7 +51,7 @@
     reserved_bytes: int = 0  # reserved in the memory budget for the request and its response
     answered: bool = False
     backstop_timer: TimerHandle | None = None
-    expired: bool = False  # the router is stopping: no further attempt is sent
+    ended_by_shutdown: bool = False  # no further attempt is sent
     attempts: list[Attempt] = field(default_factory=list)
 
 
--- a/edge_router/proxy/upstream_connections.py
+++ b/edge_router/proxy/upstream_connections.py
@@ -34,8 +34,8 @@
         self.attempts: dict[str, Attempt] = {}  # by request id
         self.abandoned_ids: deque[str] = deque(maxlen=REMEMBERED_IDS)
         self.answered_ids: deque[str] = deque(maxlen=REMEMBERED_IDS)
-        self.suspect = False  # an attempt was cancelled on it after a long silence
-        self.last_received_at = now
+        self.suspect = False  # a sent attempt was cancelled or timed out on it after a long silence
+        self.last_response_at = now  # when the last complete response to an open or abandoned attempt arrived
         self.last_used_at = now
         self._owner = owner
         self.channel: UpstreamChannel
@@ -51,10 +51,12 @@
     def accepts(self, request_id: str, now: float, max_streams: int, max_silence: float) -> bool:
         """Return whether one more attempt may be sent on this connection.
 
-        A request id is used only once on a connection. Otherwise a late or second response to the first
-        attempt would be taken for the response to the next one, and a refusal would wrongly prove that the
-        next attempt did not run. A connection that owes responses and has sent no byte for `max_silence` ms
-        accepts no attempt, because its machine may have failed.
+        None may be sent if the connection is closed or suspect, has `max_streams` open attempts, or has open
+        attempts but has delivered no response for `max_silence` ms, since the endpoint may have failed.
+
+        A request id in use or among the last `REMEMBERED_IDS` abandoned or answered ones is not used again.
+        Otherwise a late or second response to the first attempt would be taken for the response to the next
+        one; a late refusal of the first would wrongly prove that the next one did not run.
         """
         if (
             self.channel.closed
@@ -69,4 +71,4 @@
         if len(self.attempts) >= max_streams:
             return False
         oldest = min(attempt.started_at for attempt in self.attempts.values())
-        return now - max(oldest, self.last_received_at) < max_silence
+        return now - max(oldest, self.last_response_at) < max_silence
