--- a/edge_router/discovery/change_log_decoder.py
+++ b/edge_router/discovery/change_log_decoder.py
@@ -1,4 +1,4 @@
-"""Converts frames of the change log to discovery events, each once and in order, without I/O.
+"""Converts frames of the change log to discovery events, in order and without I/O.
 
 Source: the operators' page `PROTOCOL-robinbeam.md`, section "The change log".
 """
@@ -61,10 +61,13 @@
 
 
 class ChangeLogDecoder:
-    """Passes each event to the listener once and in order, across any number of connections."""
+    """Passes the events to the listener in order, across any number of connections.
+
+    Each is passed once, unless all events are requested again after a gap.
+    """
 
     def __init__(self, last_sequence: int) -> None:
-        self.last_sequence = last_sequence  # of the last event that was processed
+        self.last_sequence = last_sequence  # of the last event that was processed; 0 requests all events
         self._sequence_after_gap = 0  # of the last event before which others were missing
         self._replaying_all = False  # all events were requested, as a gap was found twice
 
@@ -85,7 +88,7 @@
         if (
             frame.sequence > self.last_sequence + 1
             and frame.kind != FrameKind.COMPLETE_LIST
-            and not self._accept_gap(frame.sequence)
+            and not self._handle_gap(frame.sequence)
         ):
             return False
         self._replaying_all = False
@@ -95,12 +98,13 @@
             listener.on_discovery_event(event)
         return True
 
-    def _accept_gap(self, sequence: int) -> bool:
-        """Whether to process an event although events before it are missing.
+    def _handle_gap(self, sequence: int) -> bool:
+        """Decides how to handle a gap before this event; returns whether to process the event now.
 
-        The log may no longer have them, so they are requested only once more. If they are missing again, all
-        events are requested, and with them the complete list, as a drain or a purge may be missing. If the
-        log has a gap even then, it is followed from the first event that it has.
+        The first time, the missing events are requested again. If the gap is found before the same event
+        once more, the log may no longer have them. Then all events are requested, and with them the complete
+        list, as a drain or a purge may be missing. If the log begins with a gap even then, it is followed
+        from the first event that it has.
         """
         if self._replaying_all:
             return True
--- a/edge_router/discovery/change_log_watcher.py
+++ b/edge_router/discovery/change_log_watcher.py
@@ -1,6 +1,8 @@
 """Follows the change log with trio: connects, resumes after the last event, reconnects with backoff.
 
-Source: the operators' page `PROTOCOL-robinbeam.md`, section "The change log".
+Source: the operators' page `PROTOCOL-robinbeam.md`, section "The change log". By `TERMS-robinbeam.md`,
+section "Bad peers", the router has to know an event at the latest 2 s after a disconnect, or 4 s after the
+log falls silent.
 """
 
 from __future__ import annotations
@@ -16,12 +18,12 @@
 from edge_router.protocol.change_log_frames import MAX_FRAME_SIZE, ChangeLogError, decode_frames
 from edge_router.runtime.event_log import log
 
-# An event counts as received 2 s after a disconnect and 4 s after the log falls silent: all waits must fit
-# into that.
+# The idle timeout, one backoff and the first connect timeout together fit into the 4 s, and the latter two
+# into the 2 s. The longer connect timeouts follow only if connecting took longer than the one before.
 IDLE_TIMEOUT = 2.5  # seconds without progress until a connection is closed; heartbeats come every second
 MIN_PROGRESS_BYTES = 4096  # part of a frame that counts as progress, as a long list arrives slowly
 MIN_BACKOFF, MAX_BACKOFF = 0.05, 0.4  # seconds before reconnecting, doubled from the one to the other
-BACKOFF_JITTER = 0.5  # random part of a backoff, so that the routers do not all reconnect at once
+BACKOFF_JITTER = 0.5  # fraction of a backoff that is random, so that routers do not all reconnect at once
 MIN_CONNECT_TIMEOUT, MAX_CONNECT_TIMEOUT = 0.8, 3.2  # seconds, doubled after each timeout
 READ_SIZE = 4096  # bytes
 
@@ -79,7 +81,11 @@
             )
 
     async def _reconnect_forever(self, listener: DiscoveryListener) -> None:
-        """Reconnects after each connection, with a backoff that grows while connections deliver no event."""
+        """Reconnects after each connection, with a backoff in between.
+
+        The backoff grows with each connection that neither delivers an event nor makes the decoder request
+        all events again.
+        """
         backoff, connect_timeout = MIN_BACKOFF, MIN_CONNECT_TIMEOUT
         while True:
             sequence_before = self._decoder.last_sequence
@@ -121,7 +127,9 @@
     async def _process_frames(
         self, sock: trio.socket.SocketType, listener: DiscoveryListener
     ) -> DisconnectReason:
-        """Processes frames until the connection ends or makes no progress; raises SequenceGapError.
+        """Processes frames until the connection ends or makes no progress within `IDLE_TIMEOUT`.
+
+        Raises SequenceGapError if events are missing and have to be requested again.
 
         A change log that hangs may leave the connection open, or send a few bytes of a frame now and then.
         So only a complete frame, or `MIN_PROGRESS_BYTES` of a long one, count as progress.
--- a/edge_router/discovery/events.py
+++ b/edge_router/discovery/events.py
@@ -37,4 +37,7 @@
     """Receives discovery events."""
 
     def on_discovery_event(self, event: DiscoveryEvent) -> None:
-        """Called once with each event, in order."""
+        """Called with each event, in order.
+
+        Each is passed once, unless all events are requested again after a gap.
+        """
--- a/edge_router/model_checker/reach.py
+++ b/edge_router/model_checker/reach.py
@@ -181,7 +181,7 @@
     ),
     (
         "discovery/change_log_decoder.py",
-        "_accept_gap|_decode_event",
+        "_handle_gap|_decode_event",
         "persistent gaps, and malformed events: tests/test_endpoint_updates.py",
     ),
     (
