--- a/edge_router/runtime/peer_clock.py
+++ b/edge_router/runtime/peer_clock.py
@@ -1,14 +1,21 @@
 """Translates Unix times of the caches and the change log into moments of the local clock.
 
-The local wall clock may be stepped, or may have been wrong at startup, so it is not trusted for this. The
+The local wall clock may be stepped, or may have been wrong at startup, so it is not trusted alone. The
 translation starts from the wall clock at the router's start and is corrected by evidence:
 
-- The change log reports only what has happened, so a reported moment in the future shows that the local clock
-  is behind.
+- The change log reports only what has happened, so one reported moment in the future shows that the local
+  clock is behind.
 - The origin serves a copy for one of the router's attempts between the attempt's first byte and its
-  response. A copy served in the future shows that the local clock is behind. A copy served before its attempt
-  need not show anything, as a parent may have joined an earlier fill. But a few in a row that are older than
-  any fill, or many in a row, show that the local clock is ahead; the freshest copies give the offset.
+  response. If a copy contradicts the translation but agrees with the present wall clock, the translation
+  follows the wall clock at once.
+- A few copies that seem to come from the future, in a row or not, show that the local clock is behind.
+- A copy served before its attempt need not show anything, as a parent may have joined an earlier fill. But a
+  few in a row that are older than any fill, or many in a row, show that the local clock is ahead.
+
+Of several copies, the second freshest gives the new offset, as the time of the freshest may be an error.
+
+The operators allow a tolerance of 50 ms when they check time limits on sockets (the operators' page
+`PROTOCOL-robinbeam.md`, section "The rules on sockets"); the same is allowed between the clocks here.
 """
 
 from __future__ import annotations
@@ -19,12 +26,14 @@
 from edge_router.runtime.clock import Clock
 from edge_router.runtime.event_log import log
 
-TOLERANCE = 50.0  # ms by which moments of two machines may differ; the operators' slack for time limits
+TOLERANCE = 50.0  # ms by which the clocks of two machines may differ without a correction
 MAX_FILL_DURATION = 10_000.0  # ms by which a copy may predate its attempt although all clocks are right
-MIN_CLEAR_EVIDENCE = 3  # consecutive copies that suffice if no fill can explain their age
+# Copies that suffice if no fill can explain them: from the future, in a row or not, or consecutive ones that
+# are too old.
+MIN_CLEAR_EVIDENCE = 3
 MIN_WEAK_EVIDENCE = 24  # consecutive copies that suffice even if fills could explain their age,
 MIN_WEAK_EVIDENCE_SPAN = 3000.0  # provided they arrived over at least this many ms
-MAX_AHEAD = 86_400_000.0  # ms; a moment further in the future is taken for an error
+MAX_AHEAD = 86_400_000.0  # ms; an event further in the future is taken for an error
 
 
 class _EarlyCopy(NamedTuple):
@@ -41,7 +50,8 @@
         self._clock = clock
         self._offset = 0.0  # the peers' Unix time minus the local clock
         self._early_copies: deque[_EarlyCopy] = deque(maxlen=MIN_WEAK_EVIDENCE)
-        self._future_offsets: deque[float] = deque(maxlen=MIN_CLEAR_EVIDENCE)  # least possible ones
+        # For each copy from the future, the smallest offset that is consistent with it.
+        self._future_offsets: deque[float] = deque(maxlen=MIN_CLEAR_EVIDENCE)
 
     def to_local(self, unix_time: float) -> float:
         """Returns the moment on the local clock when the peers' clocks showed that Unix time (both in ms)."""
@@ -78,8 +88,10 @@
         """Returns the consecutive early copies if they show that the local clock is ahead, else none."""
         copies = list(self._early_copies)
         recent = copies[-MIN_CLEAR_EVIDENCE:]
-        oldest_fill = self._offset - MAX_FILL_DURATION
-        if len(recent) == MIN_CLEAR_EVIDENCE and all(copy.max_offset < oldest_fill for copy in recent):
+        min_explained_offset = self._offset - MAX_FILL_DURATION
+        if len(recent) == MIN_CLEAR_EVIDENCE and all(
+            copy.max_offset < min_explained_offset for copy in recent
+        ):
             return recent
         span = copies[-1].received_at - copies[0].received_at
         return copies if len(copies) == MIN_WEAK_EVIDENCE and span >= MIN_WEAK_EVIDENCE_SPAN else []
--- a/edge_router/runtime/timers.py
+++ b/edge_router/runtime/timers.py
@@ -80,7 +80,8 @@
     def stall_duration(self) -> float:
         """Returns the ms for which bytes read now may have waited because the process stalled.
 
-        It is 0 if timers run on time and the last stall ended more than `STALL_MEMORY` ago.
+        It is 0 if no timer is overdue by more than `LATE_TIMER_TOLERANCE` and the last stall ended more than
+        `STALL_MEMORY` ago. A stall during which no timer became that overdue is not noticed.
         """
         now = self._monotonic()
         start = self._stall_start
