--- a/edge_router/decision/outcome_recorder.py
+++ b/edge_router/decision/outcome_recorder.py
@@ -1,6 +1,7 @@
-"""What is learned from the end of an attempt or from its silence: of its cache, its source and the origin.
+"""Records what the end of an attempt, or its silence, shows about its cache, its source and the origin.
 
-Source: WIRE, the outcomes and fill results of an attempt; the judgements are ours.
+The outcomes and fill results of attempts are described on the operators' page `WIRE-robinbeam.md`, section
+"Outcome codes".
 """
 
 from __future__ import annotations
@@ -15,7 +16,8 @@
 from edge_router.decision.pending_request import AttemptRecord, PendingRequest
 from edge_router.decision.popularity import Popularity
 
-SOURCE_FAULTS = frozenset(
+# The cache has answered, but its fill failed at the source or the origin.
+FAILED_FILLS = frozenset(
     (
         FillResult.SOURCE_REFUSED,
         FillResult.SOURCE_FAILED,
@@ -26,7 +28,7 @@
 
 
 class OutcomeRecorder:
-    """Attributes the outcome of an attempt to the cache, the source or the links between."""
+    """Attributes the outcome of each attempt to its cache, its source or the links between them."""
 
     def __init__(
         self,
@@ -36,7 +38,7 @@
         copies: CopyTracker,
         report: Callable[[LogMessage], None],
     ) -> None:
-        """`report` takes a message for each endpoint that is ejected."""
+        """`report` is called with a log message when the failures of an endpoint reach `EJECTION_SCORE`."""
         self._directory = directory
         self._loads = loads
         self._popularity = popularity
@@ -46,16 +48,16 @@
     def record_end(
         self, now: float, pending: PendingRequest, attempt: AttemptRecord, event: AttemptEnded
     ) -> None:
-        """An attempt ended."""
+        """Records the end of an attempt."""
         result = event.fill_result
         if result in (FillResult.FILLED_BY_ORIGIN, FillResult.ORIGIN_FAILED):
             self._loads.record_origin_fetch(now, result == FillResult.FILLED_BY_ORIGIN)
         if event.outcome is Outcome.OK:
             self._record_success(now, pending, attempt, event)
-        elif result in SOURCE_FAULTS:
-            self._record_source_fault(now, pending, attempt, result)
+        elif result in FAILED_FILLS:
+            self._record_failed_fill(now, pending, attempt, result)
         else:
-            self._record_cache_fault(now, pending, attempt, event.outcome)
+            self._record_failed_attempt(now, pending, attempt, event.outcome)
 
     def _record_success(
         self, now: float, pending: PendingRequest, attempt: AttemptRecord, event: AttemptEnded
@@ -64,16 +66,20 @@
         self._directory.cache_outliers[attempt.endpoint_id].record_success(now)
         if result == FillResult.HIT:
             self._loads.record_hit(now, attempt, pending.work, event.duration)
-            attempt.parent_charge.work = 0.0  # it never reached the parent
+            attempt.parent_charge.work = 0.0  # the request never reached the parent
         if result == FillResult.HIT or self._popularity.cache_rank(request.object_key):
             self._copies.record(now, request, attempt.endpoint_id)
         if result in (FillResult.FILLED, FillResult.FILLED_BY_ORIGIN):
             self._loads.record_fill(now, attempt, pending.work, event)
             self._directory.source_outliers[attempt.source_id].record_success(now)
 
-    def _record_source_fault(
+    def _record_failed_fill(
         self, now: float, pending: PendingRequest, attempt: AttemptRecord, result: int
     ) -> None:
+        """Counts SOURCE_FAILED against the source; all failed fills count as a success of the cache.
+
+        Further attempts of the request prefer other parents.
+        """
         pending.failed_sources.add(attempt.source_id)
         if result != FillResult.SOURCE_MISS:
             self._loads.record_failed_fill(pending)
@@ -81,23 +87,27 @@
         if result == FillResult.SOURCE_FAILED:
             self._source_failed(now, attempt)
 
-    def _record_cache_fault(
+    def _record_failed_attempt(
         self, now: float, pending: PendingRequest, attempt: AttemptRecord, outcome: Outcome
     ) -> None:
+        """Counts a failed connection, an error or a reset against the cache.
+
+        MISS and OVERLOADED are no faults of the cache; `record_overdue` counts its silence.
+        """
         if outcome is Outcome.CONNECT_FAILED:
             self._cache_failed(now, attempt, EJECTION_SCORE)
         elif outcome is Outcome.ERROR:
             self._cache_failed(now, attempt)
         elif outcome is Outcome.RESET:
             cache = self._directory.cache_outliers[attempt.endpoint_id]
-            if cache.is_new_reset(now, attempt.sent_at):
+            if cache.record_reset(now, attempt.sent_at):
                 self._cache_failed(now, attempt, RESET_SCORE)
             if cache.is_available(now):
-                # It may be tried again, as it may well hold the object, unlike the next one.
+                # A retry may go to the same cache, which may already hold the object, unlike the next one.
                 pending.tried_endpoints.discard(attempt.endpoint_id)
 
     def record_overdue(self, now: float, attempt: AttemptRecord) -> None:
-        """An attempt is overdue: attributed to its cache or, if that has answered since, to its source."""
+        """Counts an overdue attempt against its cache or, if that has answered since, against its source."""
         attempt.overdue = True
         if self._directory.cache_outliers[attempt.endpoint_id].last_success < attempt.sent_at:
             self._cache_failed(now, attempt)
--- a/edge_router/model_checker/mutations/transport.py
+++ b/edge_router/model_checker/mutations/transport.py
@@ -1,4 +1,4 @@
-"""Mutations of the codecs, connections, client sessions and the change log."""
+"""Mutations of the codecs, the connections to caches, the client sessions and the change log decoder."""
 
 from __future__ import annotations
 
@@ -66,7 +66,7 @@
         "abort-not-passed-on",
         fastcgi.FastCgiDecoder,
         "_on_abort",
-        "return RequestAborted(ident)",
+        "return RequestAborted(request_id)",
         "return None",
         ("hedge", "clients"),
         "none-to-left",
--- a/edge_router/proxy/discovery_updates.py
+++ b/edge_router/proxy/discovery_updates.py
@@ -1,4 +1,4 @@
-"""Applies what discovery learns (endpoints and purges), and then checks the unsent attempts again."""
+"""Applies the events of discovery (endpoints and purges), then checks the unsent attempts again."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from edge_router.decision.messages import Endpoint, EndpointListUpdate, Event, PurgeReceived, UpdateKind
 from edge_router.discovery.endpoint_table import EndpointTable
-from edge_router.discovery.events import DiscoveryEvent, EndpointsChanged, ObjectPurged
+from edge_router.discovery.events import DiscoveryEvent, EndpointsChanged, ObjectsPurged
 from edge_router.discovery.purge_history import PurgeHistory
 from edge_router.proxy.dispatcher import AttemptDispatcher
 from edge_router.proxy.request_table import RequestTable
@@ -16,7 +16,7 @@
 
 
 class DiscoveryUpdates:
-    """Applies the events of discovery to the tables, the connections and the decisions."""
+    """Applies the events of discovery to the tables, the connections and the routing policy."""
 
     def __init__(
         self,
@@ -35,10 +35,10 @@
     def apply(self, event: DiscoveryEvent) -> None:
         """Apply a change of the endpoints or a purge.
 
-        The attempts that wait to be written are checked again after the decisions have seen the event.
+        The unsent attempts are checked again after the routing policy has handled the event.
         """
         unsent = self._requests.unsent_attempts()
-        if isinstance(event, ObjectPurged):
+        if isinstance(event, ObjectsPurged):
             self._record_purge(event)
             for attempt in unsent:
                 incoming = attempt.request.incoming
@@ -50,9 +50,9 @@
         else:
             self._update_endpoints(event)
         for attempt in unsent:
-            self._dispatcher.check_sendable(attempt)
+            self._dispatcher.end_unless_sendable(attempt)
 
-    def _record_purge(self, event: ObjectPurged) -> None:
+    def _record_purge(self, event: ObjectsPurged) -> None:
         self._peer_clock.observe_event(event.unix_time)
         now = self._clock.now()
         self._purges.record(now, event.object_key, event.purge_group, event.unix_time)
@@ -82,10 +82,10 @@
         self._dispatcher.pool.close_removed_endpoints()
 
     def _with_local_start(self, endpoint: Endpoint) -> Endpoint:
-        """Return the endpoint with its start time (ms) by the router's clock instead of its own.
+        """Return the endpoint with its start time (ms) converted from its clock to the router's clock.
 
-        Translated once for each start, so that it stays the same while the clocks' offset is refined; not
-        later than now.
+        Each start is converted only once, so that the result stays the same while the estimate of the clock
+        offset changes. The result is never in the future.
         """
         if endpoint.started_at <= 0:
             return endpoint
