--- a/edge_router/model_checker/results.py
+++ b/edge_router/model_checker/results.py
@@ -26,8 +26,8 @@
 
     states: int = 0
     transitions: int = 0
-    depth: int = 0  # the greatest number of steps
-    settled: int = 0  # states of the last depth that were settled
+    depth: int = 0  # the largest number of steps to a state; a depth-first search counts only expanded states
+    settled: int = 0  # states that were settled: those of the last depth, once per process, and dead ends
     seconds: float = 0.0
     bytes_visited: int = 0  # memory of the set of visited states
     complete: bool = True  # false if the search ran out of time
--- a/edge_router/model_checker/walk.py
+++ b/edge_router/model_checker/walk.py
@@ -27,7 +27,7 @@
     "notup": 8.0,
 }
 FAULT_WEIGHT = 0.12
-FAULT_ANSWER_WEIGHT = 0.8  # of answers that count as faults
+FAULT_ANSWER_WEIGHT = 0.8  # of faulty answers and all other steps
 NORMAL_WEIGHT = 1.0
 
 
